--- a/src/exchange_loads.cpp
+++ b/src/exchange_loads.cpp
@@ -21,45 +21,46 @@
 namespace
 {
 
-/// Fleet size up to which all daemons report to all.
-constexpr std::size_t most_in_mesh = 9;
+/// Largest fleet in which each daemon reports directly to all others.
+constexpr std::size_t max_mesh_daemons = 9;
 
-/// Interval of the reports up to a fleet of this size, and the longest one of a
-/// larger fleet. Prompts of 3,000 tokens are read in about this time.
-constexpr duration shortest_interval = milliseconds(100);
-constexpr double daemons_at_shortest_interval = 40;
-constexpr duration longest_interval = milliseconds(250);
+/// Interval of the reports; grows with the fleet between these limits. The
+/// prefill of a 3,000-token prompt takes about as long as such an interval.
+constexpr duration min_report_interval = milliseconds(100);
+constexpr double max_daemons_at_min_interval = 40;
+constexpr duration max_report_interval = milliseconds(250);
 
-/// Age after which a report says nothing any more.
+/// Age after which a report is ignored.
 constexpr duration report_lifetime = seconds(1);
 
-/// Pause between two sums over the reports.
+/// Shortest time between two sums over the received reports.
 constexpr duration sum_interval = milliseconds(40);
 
-constexpr char const *hub_duty = "load_hub";
+constexpr char const *hub_hash_key = "load_hub";
 
 using loads_by_engine = std::map<std::uint64_t, engine_load>;
 
 duration report_interval(world const &w)
 {
     return fleet_interval(w.relay.sharing_daemons(),
-                          daemons_at_shortest_interval, shortest_interval,
-                          longest_interval);
+                          max_daemons_at_min_interval, min_report_interval,
+                          max_report_interval);
 }
 
 bool is_mesh(world const &w)
 {
-    return w.relay.daemons.size() <= most_in_mesh;
+    return w.relay.daemons.size() <= max_mesh_daemons;
 }
 
-/// @return hub of a data centre; empty when no daemon is known there
+/// @return name of the daemon that is the hub of a data centre; empty when no
+///         daemon is known there
 std::string hub_of(world const &w, std::string const &data_centre)
 {
     std::string hub;
     std::uint64_t highest = 0;
     auto const consider = [&](std::string const &name)
     {
-        auto const weight = rendezvous_weight(hub_duty, name);
+        auto const weight = rendezvous_weight(hub_hash_key, name);
         if (hub.empty() || weight > highest)
         {
             hub = name;
@@ -80,7 +81,7 @@
     return hub;
 }
 
-std::vector<std::string> hubs_of_others(world const &w)
+std::vector<std::string> remote_hubs(world const &w)
 {
     std::set<std::string> data_centres;
     for (auto const &[name, peer] : w.relay.daemons)
@@ -97,7 +98,7 @@
     return out;
 }
 
-std::vector<engine_load> own_loads(world const &w)
+std::vector<engine_load> local_loads(world const &w)
 {
     std::vector<engine_load> out;
     for (auto const &[id, instance] : w.relay.instances.all())
@@ -125,7 +126,7 @@
     }
 }
 
-std::uint32_t without(std::uint32_t total, std::uint32_t part)
+std::uint32_t saturating_difference(std::uint32_t total, std::uint32_t part)
 {
     return total > part ? total - part : 0;
 }
@@ -139,40 +140,42 @@
         {
             auto &item = found->second;
             item.unread_tokens =
-                without(item.unread_tokens, load.unread_tokens);
-            item.open_calls = without(item.open_calls, load.open_calls);
+                saturating_difference(item.unread_tokens, load.unread_tokens);
+            item.open_calls =
+                saturating_difference(item.open_calls, load.open_calls);
         }
     }
 }
 
-/// @return sum of the reports that are heard of the given scope, one for each
-///         data centre when they sum up data centres
-loads_by_engine heard_sum(world const &w, load_scope scope)
+/// @return sum of the received reports of the given scope. Of the reports that
+///         hubs send, only the newest of each data centre is counted, so that a
+///         change of the hub does not count its data centre twice.
+loads_by_engine sum_of_reports(world const &w, load_scope scope)
 {
-    std::map<std::string, heard_report const *> newest;
-    for (auto const &[sender, heard] : w.relay.load.heard)
+    std::map<std::string, received_report const *> newest;
+    for (auto const &[sender, received] : w.relay.load.heard)
     {
-        if (heard.report.scope != scope)
+        if (received.report.scope != scope)
         {
             continue;
         }
         auto const &key =
-            scope == load_scope::daemon ? sender : heard.report.data_centre;
+            scope == load_scope::daemon ? sender : received.report.data_centre;
         auto &place = newest[key];
-        if (place == nullptr || place->heard_at < heard.heard_at)
+        if (place == nullptr || place->received_at < received.received_at)
         {
-            place = &heard;
+            place = &received;
         }
     }
     loads_by_engine sum;
-    for (auto const &[key, heard] : newest)
+    for (auto const &[key, received] : newest)
     {
-        add(sum, heard->report.loads);
+        add(sum, received->report.loads);
     }
     return sum;
 }
 
-std::vector<engine_load> list_of(loads_by_engine const &sum)
+std::vector<engine_load> to_list(loads_by_engine const &sum)
 {
     std::vector<engine_load> out;
     std::ranges::transform(sum, std::back_inserter(out),
@@ -180,21 +183,22 @@
     return out;
 }
 
-/// @return work of all other daemons, as far as it is known here
-loads_by_engine loads_of_others(world const &w)
+/// @return load that all other daemons put on the engines, as far as it was
+///         reported to this daemon
+loads_by_engine remote_loads(world const &w)
 {
-    auto sum = heard_sum(w, load_scope::daemon);
-    add(sum, list_of(heard_sum(w, load_scope::data_centre)));
+    auto sum = sum_of_reports(w, load_scope::daemon);
+    add(sum, to_list(sum_of_reports(w, load_scope::data_centre)));
     if (!sum.empty() || hub_of(w, w.identity.data_centre) == w.identity.name)
     {
         return sum;
     }
-    sum = heard_sum(w, load_scope::fleet);
+    sum = sum_of_reports(w, load_scope::fleet);
     subtract(sum, w.relay.load.last_sent);
     return sum;
 }
 
-void accept(world &w, peer_load_report const &report)
+void accept_report(world &w, peer_load_report const &report)
 {
     auto const peer = w.relay.daemons.find(report.sender);
     bool const known = peer != w.relay.daemons.end() &&
@@ -204,29 +208,29 @@
         ++w.relay.metrics.load_reports["unknown_sender"];
         return;
     }
-    auto &heard = w.relay.load.heard[report.sender];
-    auto const age_of = [](peer_load_report const &item)
+    auto &received = w.relay.load.heard[report.sender];
+    auto const order_of = [](peer_load_report const &item)
     { return std::pair(item.incarnation, item.sequence); };
-    if (age_of(report) <= age_of(heard.report))
+    if (order_of(report) <= order_of(received.report))
     {
         ++w.relay.metrics.load_reports["out_of_order"];
         return;
     }
     ++w.relay.metrics.load_reports["accepted"];
-    heard = {report, w.now};
+    received = {report, w.now};
     w.relay.load.changed = true;
 }
 
-void drop_old_reports(world &w)
+void remove_expired_reports(world &w)
 {
     auto &load = w.relay.load;
     auto const dropped = std::erase_if(
         load.heard, [&w](auto const &item)
-        { return w.now - item.second.heard_at > report_lifetime; });
+        { return w.now - item.second.received_at > report_lifetime; });
     load.changed |= dropped > 0;
 }
 
-void sum_up(world &w)
+void update_remote_loads(world &w)
 {
     auto &load = w.relay.load;
     if (!load.changed)
@@ -240,7 +244,7 @@
     }
     load.changed = false;
     load.next_sum = w.now + sum_interval;
-    auto const others = loads_of_others(w);
+    auto const others = remote_loads(w);
     for (auto &[id, instance] : w.relay.instances.all())
     {
         auto const found = others.find(instance.load_key);
@@ -250,8 +254,9 @@
     }
 }
 
-void send(world &w, load_scope scope, std::vector<std::string> const &names,
-          std::vector<engine_load> loads)
+void send_report(world &w, load_scope scope,
+                 std::vector<std::string> const &names,
+                 std::vector<engine_load> loads)
 {
     peer_load_send out;
     for (auto const &name : names)
@@ -277,14 +282,14 @@
     w.out.peer_load_reports.push_back(std::move(out));
 }
 
-/// @return other daemons that `wanted` holds for
+/// @return names of the other daemons that satisfy `predicate`
 template <class Predicate>
-std::vector<std::string> names_of_peers(world const &w, Predicate wanted)
+std::vector<std::string> peers_where(world const &w, Predicate predicate)
 {
     std::vector<std::string> out;
     for (auto const &[name, peer] : w.relay.daemons)
     {
-        if (name != w.identity.name && wanted(peer))
+        if (name != w.identity.name && predicate(peer))
         {
             out.push_back(name);
         }
@@ -292,20 +297,22 @@
     return out;
 }
 
-void report_as_hub(world &w, std::vector<engine_load> const &own)
+void report_as_hub(world &w, std::vector<engine_load> const &local)
 {
-    auto centre = heard_sum(w, load_scope::daemon);
-    add(centre, own);
-    send(w, load_scope::data_centre, hubs_of_others(w), list_of(centre));
-    auto fleet = centre;
-    add(fleet, list_of(heard_sum(w, load_scope::data_centre)));
-    send(w, load_scope::fleet,
-         names_of_peers(w, [&w](daemon_peer const &peer)
-                        { return peer.data_centre == w.identity.data_centre; }),
-         list_of(fleet));
+    auto centre_loads = sum_of_reports(w, load_scope::daemon);
+    add(centre_loads, local);
+    send_report(w, load_scope::data_centre, remote_hubs(w),
+                to_list(centre_loads));
+    auto fleet_loads = centre_loads;
+    add(fleet_loads, to_list(sum_of_reports(w, load_scope::data_centre)));
+    send_report(
+        w, load_scope::fleet,
+        peers_where(w, [&w](daemon_peer const &peer)
+                    { return peer.data_centre == w.identity.data_centre; }),
+        to_list(fleet_loads));
 }
 
-void report(world &w)
+void send_due_report(world &w)
 {
     auto &load = w.relay.load;
     if (load.next_report > w.now)
@@ -315,12 +322,12 @@
     }
     load.next_report = w.now + report_interval(w);
     wake_at(w, load.next_report);
-    load.last_sent = own_loads(w);
+    load.last_sent = local_loads(w);
     if (is_mesh(w))
     {
-        send(w, load_scope::daemon,
-             names_of_peers(w, [](daemon_peer const &) { return true; }),
-             load.last_sent);
+        send_report(w, load_scope::daemon,
+                    peers_where(w, [](daemon_peer const &) { return true; }),
+                    load.last_sent);
         return;
     }
     auto const hub = hub_of(w, w.identity.data_centre);
@@ -329,7 +336,7 @@
         report_as_hub(w, load.last_sent);
         return;
     }
-    send(w, load_scope::daemon, {hub}, load.last_sent);
+    send_report(w, load_scope::daemon, {hub}, load.last_sent);
 }
 
 } // namespace
@@ -345,10 +352,10 @@
 {
     std::ranges::for_each(w.in.peer_load_reports,
                           [&w](peer_load_report const &report)
-                          { accept(w, report); });
-    drop_old_reports(w);
-    sum_up(w);
-    report(w);
+                          { accept_report(w, report); });
+    remove_expired_reports(w);
+    update_remote_loads(w);
+    send_due_report(w);
 }
 
 } // namespace agateledge
--- a/src/exchange_loads.hpp
+++ b/src/exchange_loads.hpp
@@ -9,20 +9,23 @@
 struct instance_definition;
 struct world;
 
-/// Tells the other daemons what this one has given to each engine, and sums up
-/// what they have. Answers the load of a large fleet: each daemon's own calls
-/// are a small part of an engine's load, and without those of the others, long
-/// prompts queue at one engine while its neighbours are idle.
+/// Reports the load that this daemon puts on each engine to the other daemons,
+/// and sums up the reports that it receives. In a large fleet, the calls of one
+/// daemon are a small part of an engine's load; if the calls of the others were
+/// not known, long prompts would queue at one engine while others are idle.
 ///
-/// A small fleet sends its reports to all. In a larger one, each data centre
-/// has a hub, chosen by rendezvous hashing over the live daemons: daemons
-/// report to their hub, hubs exchange the sums of their data centres and return
-/// the sum of the fleet. What a daemon sends and receives does not grow with
-/// the number of daemons; a hub's part grows with those of its data centre. A
-/// daemon that hears nothing places by its own calls.
+/// In a small fleet, each daemon sends its reports to all others. In a larger
+/// one, each data centre has a hub, chosen by rendezvous hashing over the live
+/// daemons: daemons report to their hub, and hubs exchange the sums of their
+/// data centres and send the sum of the fleet to the daemons of their data
+/// centre. The traffic of a daemon does not grow with the number of daemons;
+/// that of a hub grows with the number of daemons in its data centre. A daemon
+/// that receives no reports places requests by its own calls only.
+///
+/// @param w the daemon
 void exchange_loads(world &w);
 
-/// @return key of an engine in reports; a restarted engine has another one
+/// @return key of an engine in load reports; changes when the engine restarts
 std::uint64_t load_key_of(instance_definition const &instance);
 
 } // namespace agateledge
--- a/src/follow_caches.cpp
+++ b/src/follow_caches.cpp
@@ -12,30 +12,30 @@
 namespace
 {
 
-/// Reads that all daemons together make of one engine's cache in a second. A
-/// shared part is used again after some seconds; each read is priced.
-constexpr double reads_per_engine_s = 6;
+/// Reads per second of one engine's cache by all daemons together. Each read is
+/// billed, and a shared part is typically reused only after some seconds.
+constexpr double max_engine_reads_per_s = 6;
 
-/// Reads that one daemon makes of all engines' caches in a second.
-constexpr double reads_per_daemon_s = 40;
+/// Reads per second of all engines' caches by one daemon.
+constexpr double max_daemon_reads_per_s = 40;
 
-/// Longest interval between two reads of one engine, about the time in which a
-/// popular part is used again. With an older view, parts are taken to lie at
-/// their homes.
-constexpr duration longest_interval = seconds(6);
+/// Longest interval between two reads of one engine, about the time after which
+/// a popular part is reused. If reads were less frequent, the view would be too
+/// old to use, and parts are assumed to be cached at their preferred engines.
+constexpr duration max_read_interval = seconds(6);
 
-/// Time for one read; its reply is of no use later.
+/// Timeout of one read. A later reply would be outdated.
 constexpr duration read_timeout = milliseconds(800);
 
-/// Pause after a failed read.
-constexpr duration pause_after_failure = seconds(1);
+constexpr duration failure_retry_interval = seconds(1);
 
-/// @return time between two reads of one engine's cache
+/// @return time between two reads of one engine's cache by this daemon
 duration read_interval(world const &w)
 {
     auto const engines = static_cast<double>(w.relay.instances.all().size());
-    return from_seconds(std::max(w.relay.sharing_daemons() / reads_per_engine_s,
-                                 engines / reads_per_daemon_s));
+    return from_seconds(
+        std::max(w.relay.sharing_daemons() / max_engine_reads_per_s,
+                 engines / max_daemon_reads_per_s));
 }
 
 void log_read(world &w, instance_state const &engine, std::string event,
@@ -48,19 +48,19 @@
                {"last_change", std::to_string(reply.last_change)}});
 }
 
-void take_failure(world &w, instance_state &engine,
-                  cache_read_reply const &reply)
+void handle_failure(world &w, instance_state &engine,
+                    cache_read_reply const &reply)
 {
     auto &feed = engine.cache_feed;
-    feed.next_read = w.now + pause_after_failure;
+    feed.next_read = w.now + failure_retry_interval;
     if (!std::exchange(feed.failing, true))
     {
         log_read(w, engine, "cache_read_failed", reply);
     }
 }
 
-void take_changes(world &w, instance_state &engine,
-                  cache_read_reply const &reply)
+void apply_changes(world &w, instance_state &engine,
+                   cache_read_reply const &reply)
 {
     auto &feed = engine.cache_feed;
     feed.failing = false;
@@ -71,8 +71,9 @@
     }
     else if (reply.gap)
     {
-        // What left the cache meanwhile is not known; the parts that this
-        // daemon uses come back with the next calls.
+        // Evictions may have been missed, so nothing in the view is certain.
+        // The parts that this daemon uses are recorded again with its next
+        // calls.
         engine.cache.clear();
         log_read(w, engine, "cache_changes_lost", reply);
     }
@@ -82,7 +83,7 @@
                           { engine.cache.record(change, now); });
 }
 
-void take_reply(world &w, cache_read_reply const &reply)
+void handle_reply(world &w, cache_read_reply const &reply)
 {
     ++w.relay.metrics.cache_reads[reply.answered ? "answered" : "failed"];
     auto *engine = w.relay.instances.find(reply.instance);
@@ -93,10 +94,10 @@
     engine->cache_feed.in_flight = false;
     if (!reply.answered)
     {
-        take_failure(w, *engine, reply);
+        handle_failure(w, *engine, reply);
         return;
     }
-    take_changes(w, *engine, reply);
+    apply_changes(w, *engine, reply);
 }
 
 void read_cache(world &w, instance_state &engine)
@@ -116,7 +117,7 @@
     read.address = engine.definition.address;
     read.after_change = feed.last_change;
     read.timeout = read_timeout;
-    // Spreads the reads of all engines and daemons over the interval.
+    // Jitter spreads the reads of all engines and daemons over the interval.
     feed.next_read = w.now + from_seconds(to_seconds(read_interval(w)) *
                                           (0.75 + 0.5 * w.random.uniform()));
     feed.in_flight = true;
@@ -128,14 +129,14 @@
 
 bool follows_caches(world const &w)
 {
-    return read_interval(w) <= longest_interval;
+    return read_interval(w) <= max_read_interval;
 }
 
 void follow_caches(world &w)
 {
     std::ranges::for_each(w.in.cache_read_replies,
                           [&w](cache_read_reply const &reply)
-                          { take_reply(w, reply); });
+                          { handle_reply(w, reply); });
     if (!follows_caches(w))
     {
         return;
--- a/src/follow_caches.hpp
+++ b/src/follow_caches.hpp
@@ -6,15 +6,16 @@
 
 struct world;
 
-/// Reads the changes of the prefix cache of each model engine in turn. Answers
-/// the load of the heaviest days, prompts whose shared parts enter by several
-/// daemons: no engine should read a part that it or another engine holds
-/// because a different daemon sent it there.
+/// Polls each model engine for the changes of its prefix cache. Prompts with
+/// the same shared part arrive at several daemons; with the engines' own
+/// reports, a daemon also knows the parts that other daemons have sent, and no
+/// engine repeats the prefill of a part that it or another engine already
+/// holds.
 void follow_caches(world &w);
 
-/// @return true while the engines' caches are read. In a fleet where this
-///         daemon's turn to read each engine would come too rarely, shared
-///         parts are assumed to lie at their homes instead; see
+/// @return true while the engines' caches are polled. In a fleet that is so
+///         large that each daemon could poll an engine only rarely, a shared
+///         part is assumed to be cached at its preferred engine instead; see
 ///         `choose_instance`.
 bool follows_caches(world const &w);
 
--- a/src/follow_directory.cpp
+++ b/src/follow_directory.cpp
@@ -17,12 +17,13 @@
 namespace
 {
 
-/// Part of the instances that must be missing for an outage of the store to be
-/// the reason. A store that was away for this daemon only has renewed the rows
-/// of all others meanwhile.
-constexpr double lapsed_share = 1.0 / 3;
+/// Share of the instances whose rows must be missing before an outage of the
+/// store is assumed to be the cause. If the store was unreachable for this
+/// daemon only, live instances have renewed their rows meanwhile, and a missing
+/// row means that the instance was removed.
+constexpr double min_missing_share_in_outage = 1.0 / 3;
 
-void put_configuration(world &w, row_read_reply const &reply)
+void apply_configuration_row(world &w, row_read_reply const &reply)
 {
     if (!reply.fault.empty())
     {
@@ -66,15 +67,15 @@
     }
 }
 
-/// @return true when the store came back lately, so that rows may be missing
-///         for want of renewal
-bool in_lapse_grace(world const &w)
+/// @return true when the store has recovered within `missing_row_grace`, so
+///         that rows may be missing because they could not be renewed
+bool in_missing_row_grace(world const &w)
 {
     auto const &store = w.relay.store;
-    return store.failed_at && w.now < store.restored_at + instance_lapse_grace;
+    return store.failed_at && w.now < store.restored_at + missing_row_grace;
 }
 
-void miss_instance(world &w, std::string const &id, bool outage)
+void handle_missing_row(world &w, std::string const &id, bool outage)
 {
     auto *instance = w.relay.instances.find(id);
     if (instance == nullptr || instance->lapses_at)
@@ -86,28 +87,29 @@
         remove_instance(w, id);
         return;
     }
-    instance->lapses_at = w.relay.store.restored_at + instance_lapse_grace;
+    instance->lapses_at = w.relay.store.restored_at + missing_row_grace;
     log_instance(w, "instance_lapsed", *instance);
 }
 
-/// Takes instances whose rows are missing. Many at once after an outage of the
-/// store have lapsed; else they are gone.
-void miss_instances(world &w, std::vector<std::string> const &ids)
+/// Handles instances whose rows are missing. If many are missing just after an
+/// outage of the store, their rows have probably expired, and they are kept for
+/// a grace period; otherwise they are removed.
+void handle_missing_rows(world &w, std::vector<std::string> const &ids)
 {
     auto const &all = w.relay.instances.all();
-    auto const lapsed =
+    auto const expiring =
         std::ranges::count_if(all, [](auto const &item)
                               { return item.second.lapses_at.has_value(); });
     auto const missing =
-        static_cast<double>(ids.size()) + static_cast<double>(lapsed);
-    bool const outage =
-        in_lapse_grace(w) &&
-        missing >= lapsed_share * static_cast<double>(all.size());
+        static_cast<double>(ids.size()) + static_cast<double>(expiring);
+    bool const outage = in_missing_row_grace(w) &&
+                        missing >= min_missing_share_in_outage *
+                                       static_cast<double>(all.size());
     std::ranges::for_each(ids, [&w, outage](std::string const &id)
-                          { miss_instance(w, id, outage); });
+                          { handle_missing_row(w, id, outage); });
 }
 
-void put_instance(world &w, instance_row const &row)
+void apply_instance_row(world &w, instance_row const &row)
 {
     auto const *known = w.relay.instances.find(row.id);
     if (known != nullptr && known->row_version > row.row_version)
@@ -134,9 +136,9 @@
     }
 }
 
-/// @return ids of the instances that a whole read did not return
-std::vector<std::string> unlisted(world const &w,
-                                  std::vector<std::string> const &listed)
+/// @return ids of the known instances that a full read did not return
+std::vector<std::string> missing_from(world const &w,
+                                      std::vector<std::string> const &listed)
 {
     std::set<std::string> const present(listed.begin(), listed.end());
     std::vector<std::string> missing;
@@ -150,14 +152,14 @@
     return missing;
 }
 
-void put_instances(world &w, row_read_reply const &reply)
+void apply_instance_rows(world &w, row_read_reply const &reply)
 {
     std::vector<std::string> missing;
     for (auto const &row : reply.instances)
     {
         if (row.instance || row.unreadable)
         {
-            put_instance(w, row);
+            apply_instance_row(w, row);
             continue;
         }
         missing.push_back(row.id);
@@ -169,13 +171,13 @@
                                &instance_row::id);
         if (!reply.truncated)
         {
-            missing = unlisted(w, std::exchange(listed, {}));
+            missing = missing_from(w, std::exchange(listed, {}));
         }
     }
-    miss_instances(w, missing);
+    handle_missing_rows(w, missing);
 }
 
-void put_daemons(world &w, row_read_reply const &reply)
+void apply_daemon_rows(world &w, row_read_reply const &reply)
 {
     for (auto const &row : reply.daemons)
     {
@@ -197,25 +199,25 @@
     }
 }
 
-void put_rows(world &w, row_read_reply const &reply)
+void apply_rows(world &w, row_read_reply const &reply)
 {
     switch (reply.table)
     {
     case followed_table::configuration:
-        put_configuration(w, reply);
+        apply_configuration_row(w, reply);
         return;
     case followed_table::instances:
-        put_instances(w, reply);
+        apply_instance_rows(w, reply);
         return;
     case followed_table::daemons:
-        put_daemons(w, reply);
+        apply_daemon_rows(w, reply);
         return;
     }
 }
 
-void drop_lapsed(world &w)
+void remove_expired_instances(world &w)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> expired;
     for (auto const &[id, state] : w.relay.instances.all())
     {
         if (!state.lapses_at)
@@ -224,30 +226,29 @@
         }
         if (*state.lapses_at <= w.now)
         {
-            gone.push_back(id);
+            expired.push_back(id);
             continue;
         }
         wake_at(w, *state.lapses_at);
     }
-    std::ranges::for_each(gone, [&w](std::string const &id)
+    std::ranges::for_each(expired, [&w](std::string const &id)
                           { remove_instance(w, id); });
 }
 
-void drop_silent_daemons(world &w)
+void remove_expired_daemons(world &w)
 {
     auto const lifetime = daemon_row_lifetime(w.relay);
     std::erase_if(w.relay.daemons,
                   [&w, lifetime](auto const &item)
                   {
-                      bool const silent =
-                          w.relay.store.reachable &&
-                          w.now - item.second.seen_at > lifetime;
-                      if (silent)
+                      bool const lost = w.relay.store.reachable &&
+                                        w.now - item.second.seen_at > lifetime;
+                      if (lost)
                       {
                           log_relay(w, log_level::info, "daemon_lost",
                                     {{"peer", item.first}});
                       }
-                      return silent;
+                      return lost;
                   });
 }
 
@@ -259,11 +260,11 @@
     {
         if (reply.outcome == row_outcome::answered)
         {
-            put_rows(w, reply);
+            apply_rows(w, reply);
         }
     }
-    drop_lapsed(w);
-    drop_silent_daemons(w);
+    remove_expired_instances(w);
+    remove_expired_daemons(w);
 }
 
 } // namespace agateledge
--- a/src/follow_directory.hpp
+++ b/src/follow_directory.hpp
@@ -6,11 +6,11 @@
 
 struct world;
 
-/// Puts the rows that were read from the platform's store in force: the
-/// configuration, which never goes back to an older version, the instances and
-/// the daemons. An instance whose row went missing around an outage of the
-/// store is kept for a while, because its row may have lapsed for want of
-/// renewal.
+/// Applies the rows that were read from the platform's store: the
+/// configuration, which is never replaced by an older version, the instances
+/// and the daemons. An instance whose row disappeared around an outage of the
+/// store is kept for `missing_row_grace`, because its row may have expired only
+/// because it could not be renewed.
 ///
 /// @param w the daemon
 void follow_directory(world &w);
--- a/src/follow_store.cpp
+++ b/src/follow_store.cpp
@@ -13,36 +13,37 @@
 namespace
 {
 
-/// Pauses after failed reads; the first is doubled with each further failure.
-/// The longest one and the timeout of a failing read end within the time in
-/// which a daemon must know the store's state again after an outage.
-constexpr duration first_backoff = milliseconds(150);
-constexpr duration longest_backoff = milliseconds(800);
+/// Back-off after failed reads; doubles with each consecutive failure. The
+/// longest back-off and the timeout of a retried read together must stay below
+/// the time within which a daemon must have caught up after an outage of the
+/// store.
+constexpr duration initial_backoff = milliseconds(150);
+constexpr duration max_backoff = milliseconds(800);
 
-/// Timeout of a read after a failed one, which the store does not hold.
-constexpr duration failing_read_timeout = milliseconds(1000);
+/// Timeout of a retried read. Retries are not long polls.
+constexpr duration retry_timeout = milliseconds(1000);
 
 table_follower &follower_of(world &w, followed_table table)
 {
     return w.relay.followers.at(static_cast<std::size_t>(table));
 }
 
-store_pace pace_of(world const &w, followed_table table)
+poll_schedule schedule_of(world const &w, followed_table table)
 {
     auto const &store = w.relay.store;
     bool const restored =
-        store.failed_at && w.now < store.restored_at + instance_lapse_grace;
-    return store_pace_of(w.relay, table, restored);
+        store.failed_at && w.now < store.restored_at + missing_row_grace;
+    return poll_schedule_of(w.relay, table, restored);
 }
 
 duration backoff(world &w, int failures)
 {
-    auto const doubled = first_backoff * (1 << std::min(failures - 1, 5));
-    auto const bound = std::min(doubled, longest_backoff);
-    return from_seconds(to_seconds(bound) * (0.5 + w.random.uniform()));
+    auto const exponential = initial_backoff * (1 << std::min(failures - 1, 5));
+    auto const capped = std::min(exponential, max_backoff);
+    return from_seconds(to_seconds(capped) * (0.5 + w.random.uniform()));
 }
 
-void note_reachable(world &w, bool reachable, row_read_reply const &reply)
+void record_reachability(world &w, bool reachable, row_read_reply const &reply)
 {
     auto &store = w.relay.store;
     if (!reachable)
@@ -67,8 +68,8 @@
                {"fault", reply.fault}});
 }
 
-void take_failure(world &w, table_follower &follower,
-                  row_read_reply const &reply)
+void handle_failure(world &w, table_follower &follower,
+                    row_read_reply const &reply)
 {
     ++follower.failures;
     follower.next_read = w.now + backoff(w, follower.failures);
@@ -81,12 +82,13 @@
                    {"after_version", std::to_string(follower.version)}});
         return;
     }
-    note_reachable(w, false, reply);
+    record_reachability(w, false, reply);
 }
 
-void take_rows(world &w, table_follower &follower, row_read_reply const &reply)
+void handle_rows(world &w, table_follower &follower,
+                 row_read_reply const &reply)
 {
-    note_reachable(w, true, reply);
+    record_reachability(w, true, reply);
     follower.failures = 0;
     follower.confirmed_at = w.now;
     if (reply.whole && follower.after_key.empty())
@@ -111,20 +113,20 @@
     {
         follower.version = std::max(follower.version, reply.version);
     }
-    follower.next_read = w.now + pace_of(w, reply.table).pause;
+    follower.next_read = w.now + schedule_of(w, reply.table).interval;
 }
 
-void take_reply(world &w, row_read_reply const &reply)
+void handle_reply(world &w, row_read_reply const &reply)
 {
     auto &follower = follower_of(w, reply.table);
     follower.in_flight = false;
     ++w.relay.metrics.store_calls[std::string(name_of(reply.outcome))];
     if (reply.outcome == row_outcome::answered)
     {
-        take_rows(w, follower, reply);
+        handle_rows(w, follower, reply);
         return;
     }
-    take_failure(w, follower, reply);
+    handle_failure(w, follower, reply);
 }
 
 void read_table(world &w, followed_table table)
@@ -139,21 +141,21 @@
         wake_at(w, follower.next_read);
         return;
     }
-    auto const pace = pace_of(w, table);
+    auto const schedule = schedule_of(w, table);
     row_read read;
     read.table = table;
     read.whole = follower.whole;
     read.after_key = follower.after_key;
     read.after_version = follower.version;
-    bool const failing = follower.failures > 0;
-    read.wait = follower.whole || failing ? duration(0) : pace.hold;
-    read.timeout =
-        failing ? failing_read_timeout : read.wait + store_read_timeout;
+    bool const retrying = follower.failures > 0;
+    read.wait =
+        follower.whole || retrying ? duration(0) : schedule.long_poll_wait;
+    read.timeout = retrying ? retry_timeout : read.wait + store_read_timeout;
     follower.in_flight = true;
     w.out.row_reads.push_back(read);
 }
 
-void write_own_row(world &w)
+void renew_daemon_row(world &w)
 {
     auto &relay = w.relay;
     if (relay.stopping_since)
@@ -176,11 +178,11 @@
 {
     std::ranges::for_each(w.in.row_read_replies,
                           [&w](row_read_reply const &reply)
-                          { take_reply(w, reply); });
+                          { handle_reply(w, reply); });
     read_table(w, followed_table::configuration);
     read_table(w, followed_table::instances);
     read_table(w, followed_table::daemons);
-    write_own_row(w);
+    renew_daemon_row(w);
 }
 
 } // namespace agateledge
--- a/src/follow_store.hpp
+++ b/src/follow_store.hpp
@@ -6,9 +6,10 @@
 
 struct world;
 
-/// Decides when which table of the platform's store is read: whole at first and
-/// after a lost history, then by its changes. Failed reads are repeated with
-/// backoff and jitter. Also keeps this daemon's own row up to date.
+/// Schedules the reads of the platform's store: each table is read in full at
+/// the start and after its change history was lost, and incrementally from then
+/// on. Failed reads are retried with back-off and jitter. Also renews this
+/// daemon's own row.
 ///
 /// @param w the daemon
 void follow_store(world &w);
--- a/src/load_exchange.hpp
+++ b/src/load_exchange.hpp
@@ -12,24 +12,24 @@
 namespace agateledge
 {
 
-/// Report of another daemon, with the time at which it arrived.
-struct heard_report
+/// Load report of another daemon.
+struct received_report
 {
     peer_load_report report;
-    instant heard_at{};
+    instant received_at{};
 };
 
-/// What this daemon has sent to, and heard from, the other daemons about the
-/// load of the engines.
+/// State of the exchange of engine loads with the other daemons.
 struct load_exchange
 {
     /// Newest report of each sender.
-    std::map<std::string, heard_report> heard;
+    std::map<std::string, received_report> heard;
     std::uint64_t sequence = 0;
     instant next_report{};
-    /// Own loads in the last report, which a report on the fleet includes.
+    /// This daemon's loads in its last report. They are contained in the sum of
+    /// the fleet that a hub returns and are subtracted from it.
     std::vector<engine_load> last_sent;
-    /// Reports arrived that the sums of the engines do not include.
+    /// Reports have arrived or expired since the loads were last summed.
     bool changed = false;
     instant next_sum{};
 };
--- a/src/prompt_cache_view.cpp
+++ b/src/prompt_cache_view.cpp
@@ -15,16 +15,16 @@
 namespace
 {
 
-/// Time in which an engine reads a part that it was sent; later the part counts
-/// as held only if the engine is known to have read it.
-constexpr duration longest_reading = seconds(3);
+/// Longest prefill of a part that was sent to an engine. After this time the
+/// part counts as cached only if its prefill is known to be complete.
+constexpr duration max_prefill_time = seconds(3);
 
-/// Parts that are remembered for one engine. An engine with room for a million
-/// tokens holds some hundred prompts.
-constexpr std::size_t most_entries = 8192;
+/// Largest number of parts in the view of one engine. The cache of an engine
+/// with a capacity of a million tokens holds some hundred prompts.
+constexpr std::size_t max_entries = 8192;
 
-/// Engines keep whole blocks of tokens, so that the last tokens of a part may
-/// be missing.
+/// Engines cache only complete blocks of tokens, so that up to one block may be
+/// missing at the end of a part.
 constexpr int block_tokens = 16;
 
 std::uint64_t hash_of(std::string_view model, std::uint64_t part)
@@ -33,10 +33,11 @@
                                 XXH3_64bits(model.data(), model.size()));
 }
 
-/// @return tokens of the longest leading part whose links all satisfy `holds`,
-///         which is given the link and the tokens of its last part
+/// @return tokens of the longest prefix in `chain` for which `holds` is true of
+///         the prefix itself and of all shorter ones; `holds` is called with
+///         the link and the tokens of the link's last part
 template <class Predicate>
-int longest_held(prompt_chain const &chain, Predicate holds)
+int longest_prefix_tokens(prompt_chain const &chain, Predicate holds)
 {
     int before = 0;
     for (auto const &link : chain)
@@ -81,25 +82,26 @@
 int prompt_cache_view::cached_tokens(prompt_chain const &chain,
                                      instant now) const
 {
-    return longest_held(
+    return longest_prefix_tokens(
         chain,
         [this, now](prompt_chain_link const &link, int tokens)
         {
             auto const *held = find(link.hash);
             return held != nullptr && held->tokens + block_tokens >= tokens &&
-                   (held->read || now - held->used_at < longest_reading);
+                   (held->prefilled || now - held->used_at < max_prefill_time);
         });
 }
 
 int prompt_cache_view::copyable_tokens(prompt_chain const &chain) const
 {
-    return longest_held(chain,
-                        [this](prompt_chain_link const &link, int tokens)
-                        {
-                            auto const *held = find(link.hash);
-                            return held != nullptr && held->read &&
-                                   held->tokens + block_tokens >= tokens;
-                        });
+    return longest_prefix_tokens(
+        chain,
+        [this](prompt_chain_link const &link, int tokens)
+        {
+            auto const *held = find(link.hash);
+            return held != nullptr && held->prefilled &&
+                   held->tokens + block_tokens >= tokens;
+        });
 }
 
 instant prompt_cache_view::used_at(prompt_chain_link const &link) const
@@ -118,7 +120,7 @@
         held.used_at = now;
         before = link.tokens;
     }
-    bound_size();
+    evict_excess();
 }
 
 void prompt_cache_view::confirm(prompt_chain const &chain)
@@ -128,7 +130,7 @@
         auto const found = entries_.find(link.hash);
         if (found != entries_.end())
         {
-            found->second.read = true;
+            found->second.prefilled = true;
         }
     }
 }
@@ -142,12 +144,12 @@
         return;
     }
     entries_[hash] = {change.kept_tokens, true, now};
-    bound_size();
+    evict_excess();
 }
 
-void prompt_cache_view::bound_size()
+void prompt_cache_view::evict_excess()
 {
-    if (entries_.size() <= most_entries)
+    if (entries_.size() <= max_entries)
     {
         return;
     }
--- a/src/prompt_cache_view.hpp
+++ b/src/prompt_cache_view.hpp
@@ -15,12 +15,12 @@
 struct cache_change;
 struct prompt_shape;
 
-/// Leading parts of a prompt, as one value.
+/// Prefix of a prompt that ends with one of its parts.
 struct prompt_chain_link
 {
-    /// Hash of the model and of the last of these parts.
+    /// Hash of the model and of the last part of the prefix.
     std::uint64_t hash = 0;
-    /// Tokens of all parts up to this one.
+    /// Tokens of the prefix.
     int tokens = 0;
 
     auto operator<=>(prompt_chain_link const &) const = default;
@@ -28,42 +28,44 @@
 
 using prompt_chain = std::vector<prompt_chain_link>;
 
-/// @return the leading parts of `prompt`, shortest first, without the last
-///         part, which no other request shares
+/// @return the prefixes of `prompt`, shortest first, that other requests may
+///         share: all but the one that ends with the last part
 prompt_chain shared_chain_of(prompt_shape const &prompt);
 
-/// What an engine's prefix cache is believed to hold, from the requests that
-/// this daemon sent there and from the engine's own changes, which come late
-/// and with gaps.
+/// Estimated content of an engine's prefix cache, derived from the requests
+/// that this daemon sent to the engine and from the changes that the engine
+/// reports, which arrive late and may be incomplete.
 class prompt_cache_view
 {
 public:
-    /// @param chain shared leading parts of a prompt
-    /// @return tokens of the longest part of `chain` that the engine holds or
-    ///         is about to read
+    /// @param chain shareable prefixes of a prompt
+    /// @return tokens of the longest prefix in `chain` that the engine holds,
+    /// or
+    ///         was sent so recently that its prefill is probably under way
     int cached_tokens(prompt_chain const &chain, instant now) const;
 
-    /// @param chain shared leading parts of a prompt
-    /// @return tokens of the longest part of `chain` that the engine has read
-    ///         whole, so that other engines can copy it
+    /// @param chain shareable prefixes of a prompt
+    /// @return tokens of the longest prefix in `chain` whose prefill is
+    /// complete,
+    ///         so that other engines can copy it
     int copyable_tokens(prompt_chain const &chain) const;
 
-    /// @param link a shared leading part of a prompt
-    /// @return time at which the part was last used there; the earliest time
-    ///         when it was not
+    /// @param link a shareable prefix of a prompt
+    /// @return time at which the last part of the prefix was last used at the
+    ///         engine; `instant{}` when it is not in the view
     instant used_at(prompt_chain_link const &link) const;
 
-    /// Notes that the engine is to read the chain.
+    /// Records that a prompt with these prefixes was sent to the engine.
     void note(prompt_chain const &chain, instant now);
 
-    /// Notes that the engine has read those parts of the chain that it was
-    /// noted to read.
+    /// Records that the prefill of these prefixes is complete. Parts that are
+    /// not in the view are not added.
     void confirm(prompt_chain const &chain);
 
-    /// Takes a change that the engine reports.
+    /// Applies a change that the engine reported.
     void record(cache_change const &change, instant now);
 
-    /// Forgets all, as after a restart of the engine.
+    /// Removes all entries, for example after a restart of the engine.
     void clear() { entries_.clear(); }
 
     std::size_t size() const { return entries_.size(); }
@@ -73,13 +75,14 @@
     {
         /// Tokens of this part that the engine keeps.
         int tokens = 0;
-        /// The engine has read it.
-        bool read = false;
+        /// The engine has completed the prefill of this part.
+        bool prefilled = false;
         instant used_at{};
     };
 
     entry const *find(std::uint64_t hash) const;
-    void bound_size();
+    /// Evicts the least recently used entry when there are too many.
+    void evict_excess();
 
     std::unordered_map<std::uint64_t, entry> entries_;
 };
--- a/src/store_paces.hpp
+++ b/src/store_paces.hpp
@@ -9,39 +9,43 @@
 enum class followed_table;
 struct relay_state;
 
-/// How often a table of the platform's store is read.
-struct store_pace
+/// How often, and with which long-poll wait, a table of the platform's store is
+/// read.
+struct poll_schedule
 {
-    /// Pause between two reads of the changes.
-    duration pause{};
-    /// Time for which the store holds a read until there are changes.
-    duration hold{};
+    /// Time from the reply to one read until the next read.
+    duration interval{};
+    /// Time for which the store may delay its reply until there are changes.
+    duration long_poll_wait{};
 
-    auto operator<=>(store_pace const &) const = default;
+    auto operator<=>(poll_schedule const &) const = default;
 };
 
-/// Time that a read may take beyond the time that the store holds it: 4 ms at
-/// the usual speed, and up to 60 times as long while the store is slow.
+/// Timeout of a read, in addition to its long-poll wait. A read usually takes
+/// 4 ms, and up to 60 times as long while the store is slow.
 constexpr duration store_read_timeout = milliseconds(1500);
 
-/// Time from the store's return until a row that is still missing is gone: rows
-/// of living instances are back after 2 s.
-constexpr duration instance_lapse_grace = milliseconds(2200);
+/// Time after an outage of the store until an instance whose row is still
+/// missing is removed. Running instances have rewritten their rows after 2 s.
+constexpr duration missing_row_grace = milliseconds(2200);
 
-/// Paces of the reads, from the bounds of the deployment: calls are priced and
-/// share the store's rate, so that each table is read as rarely as its bound
-/// allows.
+/// Derives the read schedule of a table from the limits of the deployment.
+/// Calls are billed and share the store's rate limit, so each table is read as
+/// rarely as its limit allows.
 ///
-/// @param relay the daemon's state, with the bounds and the fleet's size
-/// @param restored the store has come back within `instance_lapse_grace`
-store_pace store_pace_of(relay_state const &relay, followed_table table,
-                         bool restored);
-
-/// @return pause between two writes of a daemon's own row; grows with the
-///         fleet, so that all daemons together write equally often
+/// @param relay the daemon's state, with the limits and the size of the fleet
+/// @param table the table to read
+/// @param restored the store has recovered within `missing_row_grace`
+/// @return the schedule
+poll_schedule poll_schedule_of(relay_state const &relay, followed_table table,
+                               bool restored);
+
+/// @return interval at which a daemon renews its own row; grows with the fleet,
+///         so that the total write rate of all daemons stays the same
 duration daemon_row_interval(relay_state const &relay);
 
-/// @return time after which a daemon whose row has not changed is not counted
+/// @return time after which a daemon whose row was not renewed is considered
+///         stopped
 duration daemon_row_lifetime(relay_state const &relay);
 
 } // namespace agateledge
