--- a/test/correctness/relay_cache_test.cpp
+++ b/test/correctness/relay_cache_test.cpp
@@ -1,6 +1,6 @@
-// Guards against shared prompt parts being read again although an engine holds
-// them: under the heaviest load, bursts of long prompts that enter by several
-// daemons, each token that is read again delays the prompts behind it.
+// Guards against repeated prefill of shared prompt parts that an engine already
+// holds. In a burst of long prompts that arrive at several daemons, each token
+// that is computed again delays the prompts queued behind it.
 #include "relay_fixture.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 using namespace agateledge;
 
 constexpr int shared_tokens = 13300;
-constexpr int own_tokens = 3700;
+constexpr int unshared_tokens = 3700;
 constexpr std::uint64_t part = 7;
 
 cache_read_reply changes_of(std::string const &engine, std::string const &epoch,
@@ -29,15 +29,15 @@
     return reply;
 }
 
-void report(relay_fixture &daemon, cache_read_reply const &reply)
+void apply_reply(relay_fixture &daemon, cache_read_reply const &reply)
 {
     daemon.state.in.cache_read_replies.push_back(reply);
     daemon.tick_now();
 }
 
-relay_call send_one(relay_fixture &daemon)
+relay_call send_prompt(relay_fixture &daemon)
 {
-    daemon.send("/once/1", part, shared_tokens, own_tokens);
+    daemon.send("/once/1", part, shared_tokens, unshared_tokens);
     auto const out = daemon.advance(milliseconds(10));
     EXPECT_EQ(out.relay_calls.size(), 1U);
     return out.relay_calls.empty() ? relay_call{} : out.relay_calls.front();
@@ -54,8 +54,9 @@
     {
         relay_fixture daemon;
         daemon.list_engines(6, engine_role::decode);
-        report(daemon, changes_of(holder, "1", {{"m", part, shared_tokens}}));
-        EXPECT_EQ(send_one(daemon).instance, holder);
+        apply_reply(daemon,
+                    changes_of(holder, "1", {{"m", part, shared_tokens}}));
+        EXPECT_EQ(send_prompt(daemon).instance, holder);
     }
 }
 
@@ -63,35 +64,38 @@
 {
     relay_fixture daemon;
     daemon.list_engines(6, engine_role::decode);
-    report(daemon, changes_of("decode-2", "1", {{"m", part, shared_tokens}}));
+    apply_reply(daemon,
+                changes_of("decode-2", "1", {{"m", part, shared_tokens}}));
     daemon.state.relay.instances.find("decode-2")->unread_tokens = 90000;
-    auto const call = send_one(daemon);
+    auto const call = send_prompt(daemon);
     EXPECT_NE(call.instance, "decode-2");
     EXPECT_EQ(call.prefix_source_address, address_of(daemon, "decode-2"));
     auto const &attempt = *daemon.state.relay.requests.find(call.attempt);
-    EXPECT_EQ(attempt.unread_tokens, own_tokens);
+    EXPECT_EQ(attempt.unread_tokens, unshared_tokens);
 }
 
 TEST(relay_cache, a_part_that_left_the_cache_is_not_counted_on)
 {
     relay_fixture daemon;
     daemon.list_engines(6, engine_role::decode);
-    report(daemon, changes_of("decode-2", "1",
-                              {{"m", part, shared_tokens}, {"m", part, 0}}));
-    auto const call = send_one(daemon);
+    apply_reply(daemon,
+                changes_of("decode-2", "1",
+                           {{"m", part, shared_tokens}, {"m", part, 0}}));
+    auto const call = send_prompt(daemon);
     auto const &attempt = *daemon.state.relay.requests.find(call.attempt);
-    EXPECT_EQ(attempt.unread_tokens, shared_tokens + own_tokens);
+    EXPECT_EQ(attempt.unread_tokens, shared_tokens + unshared_tokens);
 }
 
 TEST(relay_cache, a_restarted_engine_holds_nothing)
 {
     relay_fixture daemon;
     daemon.list_engines(6, engine_role::decode);
-    report(daemon, changes_of("decode-2", "1", {{"m", part, shared_tokens}}));
-    report(daemon, changes_of("decode-2", "2", {}));
-    auto const call = send_one(daemon);
+    apply_reply(daemon,
+                changes_of("decode-2", "1", {{"m", part, shared_tokens}}));
+    apply_reply(daemon, changes_of("decode-2", "2", {}));
+    auto const call = send_prompt(daemon);
     auto const &attempt = *daemon.state.relay.requests.find(call.attempt);
-    EXPECT_EQ(attempt.unread_tokens, shared_tokens + own_tokens);
+    EXPECT_EQ(attempt.unread_tokens, shared_tokens + unshared_tokens);
 }
 
 TEST(relay_cache, parts_before_a_missing_one_do_not_count)
@@ -109,16 +113,15 @@
     EXPECT_EQ(cache.copyable_tokens(chain), 6300);
 }
 
-// An engine that does not answer must not be asked without a pause, and one
-// that leaves must not be asked at all.
+// Reads of an engine that does not answer must be limited in their rate.
 TEST(relay_cache, reads_of_a_cache_are_bounded)
 {
     relay_fixture daemon;
     daemon.list_engines(1, engine_role::decode);
-    // Ends the read that the listing began.
+    // Completes the read that was started when the engine was listed.
     cache_read_reply failed;
     failed.instance = "decode-1";
-    report(daemon, failed);
+    apply_reply(daemon, failed);
     int reads = 0;
     for (int i = 0; i < 1000; ++i)
     {
--- a/test/correctness/relay_directory_test.cpp
+++ b/test/correctness/relay_directory_test.cpp
@@ -1,5 +1,6 @@
-// Guards against new work for instances that have left, and against the loss of
-// instances whose rows lapsed only because the store was away.
+// Guards against new work for instances that were removed or are draining, and
+// against the loss of instances whose rows expired only because the store was
+// unavailable.
 #include "relay_fixture.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 
 using namespace agateledge;
 
-std::vector<std::string> engines(int from, int to)
+std::vector<std::string> engine_ids(int from, int to)
 {
     std::vector<std::string> out;
     for (int i = from; i <= to; ++i)
@@ -35,8 +36,8 @@
     EXPECT_FALSE(listed(daemon, "decode-2"));
 }
 
-// The store turned this daemon away and served the others: rows were renewed
-// meanwhile, so a missing one means that the instance has left.
+// The store failed for this daemon only: rows were renewed meanwhile, so a
+// missing one means that the instance was removed.
 TEST(relay_directory, a_row_that_was_removed_while_others_were_renewed_is_gone)
 {
     relay_fixture daemon;
@@ -44,7 +45,7 @@
     daemon.store_fails();
     daemon.advance(seconds(3));
     daemon.store_fails();
-    daemon.instances_changed(engines(2, 6), {"decode-1"});
+    daemon.instances_changed(engine_ids(2, 6), {"decode-1"});
     EXPECT_FALSE(listed(daemon, "decode-1"));
     EXPECT_TRUE(listed(daemon, "decode-2"));
 }
@@ -55,16 +56,17 @@
     daemon.list_engines(6, engine_role::decode);
     daemon.store_fails();
     daemon.advance(seconds(3));
-    daemon.instances_changed({}, engines(1, 6));
+    daemon.instances_changed({}, engine_ids(1, 6));
     daemon.advance(milliseconds(1500));
     EXPECT_TRUE(listed(daemon, "decode-1"));
-    daemon.instances_changed(engines(1, 3), {});
+    daemon.instances_changed(engine_ids(1, 3), {});
     daemon.advance(milliseconds(1200));
     EXPECT_TRUE(listed(daemon, "decode-3"));
     EXPECT_FALSE(listed(daemon, "decode-4"));
 }
 
-// The time runs from the return of the store, not from the first look at it.
+// The grace period starts when the store is reachable again, not when the
+// missing rows are first read.
 TEST(relay_directory, a_late_look_does_not_lengthen_the_time_of_lapsed_rows)
 {
     relay_fixture daemon;
@@ -73,7 +75,7 @@
     daemon.advance(seconds(2));
     daemon.instances_changed({}, {});
     daemon.advance(milliseconds(1500));
-    daemon.instances_changed({}, engines(1, 6));
+    daemon.instances_changed({}, engine_ids(1, 6));
     daemon.advance(milliseconds(900));
     EXPECT_FALSE(listed(daemon, "decode-1"));
 }
--- a/test/correctness/relay_load_test.cpp
+++ b/test/correctness/relay_load_test.cpp
@@ -1,6 +1,6 @@
-// Guards against long prompts that queue at one engine while its neighbours are
-// idle, because each daemon of a fleet knows its own calls only; and against
-// reports that are lost, late, forged or damaged.
+// Guards against long prompts that queue at one engine while others are idle,
+// which happens when each daemon of a fleet knows only its own calls. Also
+// guards against load reports that are lost, late, forged or corrupt.
 #include "exchange_loads.hpp"
 #include "peer_load_codec.hpp"
 #include "relay_fixture.hpp"
@@ -19,13 +19,13 @@
 using namespace agateledge;
 
 constexpr int shared_tokens = 13300;
-constexpr int own_tokens = 3700;
+constexpr int unshared_tokens = 3700;
 
-/// Daemons of several data centres whose reports reach each other.
-class played_fleet
+/// Simulated fleet in several data centres whose daemons exchange load reports.
+class simulated_fleet
 {
 public:
-    played_fleet(int daemons, int data_centres, int engines)
+    simulated_fleet(int daemons, int data_centres, int engines)
     {
         for (int i = 0; i < daemons; ++i)
         {
@@ -49,8 +49,9 @@
         }
     }
 
-    /// Plays all daemons; reports arrive with the next step, or are lost.
-    void play(duration time)
+    /// Advances all daemons; reports are delivered after each step of 10 ms,
+    /// except for a share of `lost_share` that is dropped.
+    void advance(duration time)
     {
         for (duration done{}; done < time; done += milliseconds(10))
         {
@@ -96,8 +97,8 @@
     random_source random_{1};
 };
 
-/// @return the most prompts that one engine was given
-std::size_t most_at_one_engine(std::vector<relay_call> const &calls)
+/// @return the largest number of prompts that were sent to one engine
+std::size_t max_calls_of_one_engine(std::vector<relay_call> const &calls)
 {
     std::map<std::string, std::size_t> counts;
     std::ranges::for_each(calls, [&counts](relay_call const &call)
@@ -107,29 +108,30 @@
         ->second;
 }
 
-// One popular shared part enters by 30 daemons. Known to each daemon alone, its
-// engine takes all of them; 12 engines can read 60 prompts at the same time.
+// Prompts with one popular shared part arrive at 30 daemons. Without load
+// reports, all would go to the preferred engine of that part; 12 engines can
+// prefill 60 prompts at the same time.
 TEST(relay_load, a_burst_through_many_daemons_spreads_over_idle_engines)
 {
-    played_fleet fleet(30, 3, 12);
-    fleet.play(milliseconds(500));
+    simulated_fleet fleet(30, 3, 12);
+    fleet.advance(milliseconds(500));
     for (int round = 0; round < 2; ++round)
     {
         for (auto &daemon : fleet.members)
         {
-            daemon->send("/once/1", 7, shared_tokens, own_tokens);
-            fleet.play(milliseconds(20));
+            daemon->send("/once/1", 7, shared_tokens, unshared_tokens);
+            fleet.advance(milliseconds(20));
         }
     }
-    fleet.play(seconds(1));
+    fleet.advance(seconds(1));
     ASSERT_GE(fleet.calls.size(), 55U);
-    EXPECT_LE(most_at_one_engine(fleet.calls), 15U);
+    EXPECT_LE(max_calls_of_one_engine(fleet.calls), 15U);
 }
 
-/// @return prompt tokens of other daemons that each member knows of at an
-///         engine
-std::vector<std::int64_t> known_work(played_fleet const &fleet,
-                                     std::string const &engine)
+/// @return for each daemon, the prompt tokens of other daemons that it knows of
+///         at an engine
+std::vector<std::int64_t> known_tokens(simulated_fleet const &fleet,
+                                       std::string const &engine)
 {
     std::vector<std::int64_t> out;
     std::ranges::transform(fleet.members, std::back_inserter(out),
@@ -141,7 +143,7 @@
     return out;
 }
 
-void give_work(relay_fixture &daemon, std::string const &engine)
+void add_work(relay_fixture &daemon, std::string const &engine)
 {
     auto &instance = *daemon.state.relay.instances.find(engine);
     instance.open_calls.insert(attempt_number(999));
@@ -152,11 +154,11 @@
 {
     for (int const size : {2, 5, 9, 10, 30, 100})
     {
-        played_fleet fleet(size, std::min(size, 4), 3);
-        fleet.play(milliseconds(500));
-        give_work(*fleet.members.front(), "decode-2");
-        fleet.play(milliseconds(1000));
-        auto const known = known_work(fleet, "decode-2");
+        simulated_fleet fleet(size, std::min(size, 4), 3);
+        fleet.advance(milliseconds(500));
+        add_work(*fleet.members.front(), "decode-2");
+        fleet.advance(milliseconds(1000));
+        auto const known = known_tokens(fleet, "decode-2");
         EXPECT_EQ(known.front(), 0) << size;
         EXPECT_EQ(std::ranges::count(known, 5000), size - 1) << size;
     }
@@ -164,21 +166,21 @@
 
 TEST(relay_load, lost_reports_are_replaced_by_the_next_ones)
 {
-    played_fleet fleet(30, 3, 3);
+    simulated_fleet fleet(30, 3, 3);
     fleet.lost_share = 0.2;
-    fleet.play(milliseconds(500));
-    give_work(*fleet.members.front(), "decode-2");
-    fleet.play(seconds(2));
-    auto const known = known_work(fleet, "decode-2");
+    fleet.advance(milliseconds(500));
+    add_work(*fleet.members.front(), "decode-2");
+    fleet.advance(seconds(2));
+    auto const known = known_tokens(fleet, "decode-2");
     EXPECT_EQ(std::ranges::count(known, 5000), 29);
 }
 
-// What a daemon receives must not grow with the fleet; a hub hears the daemons
-// of its own data centre.
+// The number of reports that a daemon receives must not grow with the fleet. A
+// hub receives reports of the daemons in its own data centre.
 TEST(relay_load, few_reports_reach_a_daemon_of_a_large_fleet)
 {
-    played_fleet fleet(100, 5, 3);
-    fleet.play(seconds(2));
+    simulated_fleet fleet(100, 5, 3);
+    fleet.advance(seconds(2));
     std::size_t hubs = 0;
     for (auto const &[address, count] : fleet.delivered_to)
     {
@@ -190,11 +192,11 @@
 
 TEST(relay_load, the_work_of_a_silent_daemon_is_forgotten)
 {
-    played_fleet fleet(3, 1, 3);
-    fleet.play(milliseconds(500));
-    give_work(*fleet.members.front(), "decode-2");
-    fleet.play(milliseconds(500));
-    ASSERT_EQ(known_work(fleet, "decode-2").back(), 5000);
+    simulated_fleet fleet(3, 1, 3);
+    fleet.advance(milliseconds(500));
+    add_work(*fleet.members.front(), "decode-2");
+    fleet.advance(milliseconds(500));
+    ASSERT_EQ(known_tokens(fleet, "decode-2").back(), 5000);
     auto &last = *fleet.members.back();
     last.advance(milliseconds(1500));
     EXPECT_EQ(last.state.relay.instances.find("decode-2")->others_unread_tokens,
@@ -203,14 +205,14 @@
 
 TEST(relay_load, a_restarted_engine_has_no_work_of_its_former_self)
 {
-    played_fleet fleet(2, 1, 3);
-    fleet.play(milliseconds(500));
-    give_work(*fleet.members.front(), "decode-2");
+    simulated_fleet fleet(2, 1, 3);
+    fleet.advance(milliseconds(500));
+    add_work(*fleet.members.front(), "decode-2");
     auto &other = *fleet.members.back();
     auto restarted = other.state.relay.instances.find("decode-2")->definition;
     restarted.started_at_ms = 7;
     other.list(restarted);
-    fleet.play(milliseconds(500));
+    fleet.advance(milliseconds(500));
     EXPECT_EQ(
         other.state.relay.instances.find("decode-2")->others_unread_tokens, 0);
 }
@@ -229,7 +231,8 @@
     return report;
 }
 
-std::int64_t known_after(relay_fixture &daemon, peer_load_report const &report)
+std::int64_t known_tokens_after(relay_fixture &daemon,
+                                peer_load_report const &report)
 {
     daemon.state.in.peer_load_reports.push_back(report);
     daemon.advance(milliseconds(60));
@@ -238,12 +241,12 @@
 
 TEST(relay_load, old_and_unknown_reports_are_dropped)
 {
-    played_fleet fleet(2, 1, 3);
+    simulated_fleet fleet(2, 1, 3);
     auto &daemon = *fleet.members.back();
-    EXPECT_EQ(known_after(daemon, report_of("edge-0", 8, 600)), 600);
-    EXPECT_EQ(known_after(daemon, report_of("edge-0", 7, 100)), 600);
-    EXPECT_EQ(known_after(daemon, report_of("stranger", 9, 100)), 600);
-    EXPECT_EQ(known_after(daemon, report_of("edge-0", 9, 200)), 200);
+    EXPECT_EQ(known_tokens_after(daemon, report_of("edge-0", 8, 600)), 600);
+    EXPECT_EQ(known_tokens_after(daemon, report_of("edge-0", 7, 100)), 600);
+    EXPECT_EQ(known_tokens_after(daemon, report_of("stranger", 9, 100)), 600);
+    EXPECT_EQ(known_tokens_after(daemon, report_of("edge-0", 9, 200)), 200);
 }
 
 TEST(relay_load, damaged_datagrams_are_no_reports)
--- a/test/correctness/relay_operators_test.cpp
+++ b/test/correctness/relay_operators_test.cpp
@@ -1,6 +1,6 @@
-// Plays what operators of similar systems have seen go wrong, where no other
-// test does: stalled streams that never end, sound ones that are cut, and
-// instances that are in use again after a restart. See
+// Reproduces failures known from similar systems that no other test covers:
+// stalled streams that never end, healthy streams that are aborted, and removed
+// instances that are used again after a restart. See
 // docs/incidents/elsewhere.md.
 #include "exchange_loads.hpp"
 #include "relay_fixture.hpp"
@@ -52,14 +52,14 @@
 {
     relay_fixture daemon;
     auto const call = open_stream(daemon);
-    std::string passed;
+    std::string forwarded;
     bool ended = false;
     for (int event = 2; event <= 5; ++event)
     {
         auto const out = daemon.advance(milliseconds(950));
         for (auto const &answer : out.relay_answers)
         {
-            passed += answer.bytes;
+            forwarded += answer.bytes;
             EXPECT_NE(answer.kind, relay_answer_kind::cut);
         }
         daemon.reply_bytes(call.attempt,
@@ -68,16 +68,16 @@
     daemon.reply_ends(call.attempt, relay_event_kind::finished);
     for (auto const &answer : daemon.advance(milliseconds(10)).relay_answers)
     {
-        passed += answer.bytes;
+        forwarded += answer.bytes;
         ended |= answer.kind == relay_answer_kind::end;
     }
     EXPECT_TRUE(ended);
-    EXPECT_NE(passed.find("id: 1\n"), std::string::npos);
-    EXPECT_NE(passed.find("id: 5\n"), std::string::npos);
+    EXPECT_NE(forwarded.find("id: 1\n"), std::string::npos);
+    EXPECT_NE(forwarded.find("id: 5\n"), std::string::npos);
 }
 
-// A daemon that starts knows nothing; what its peers still believe of an engine
-// that has left must not bring it back.
+// Other daemons may still report load of an engine that was removed. Such a
+// report must not add the engine again.
 TEST(relay_operators, a_report_of_an_engine_that_left_does_not_bring_it_back)
 {
     relay_fixture daemon;
--- a/test/correctness/relay_store_test.cpp
+++ b/test/correctness/relay_store_test.cpp
@@ -1,6 +1,6 @@
-// Guards against a daemon that does not know the state of the store in time:
-// after an outage, or between two reads. Also against calls to the store that
-// grow with the fleet beyond what its bounds need.
+// Guards against a daemon that learns of changes in the store too late, after
+// an outage or between two reads, and against a rate of calls to the store that
+// grows with the fleet.
 #include "relay_fixture.hpp"
 
 #include <gtest/gtest.h>
@@ -17,17 +17,19 @@
 
 constexpr duration step = milliseconds(10);
 
-/// Answers the reads of a daemon as a store that is away or idle would.
-class played_store
+/// Simulated store, idle or unavailable, that answers the reads of a daemon.
+class simulated_store
 {
 public:
-    explicit played_store(relay_fixture &daemon) : daemon_(daemon) {}
+    explicit simulated_store(relay_fixture &daemon) : daemon_(daemon) {}
 
-    /// Calls of the daemon by table, with the times at which they began.
+    /// Start times of the daemon's reads, by table.
     std::map<followed_table, std::vector<instant>> reads;
+    /// Number of all reads and writes.
     std::size_t calls = 0;
 
-    void play(duration time, bool away)
+    /// @param unavailable reads end with their timeout instead of an answer
+    void advance(duration time, bool unavailable)
     {
         auto const end = daemon_.state.now + time;
         while (daemon_.state.now < end)
@@ -37,14 +39,15 @@
             for (auto const &read : out.row_reads)
             {
                 reads[read.table].push_back(daemon_.state.now);
-                open_.push_back({read, daemon_.state.now +
-                                           (away ? read.timeout : read.wait)});
+                open_.push_back(
+                    {read, daemon_.state.now +
+                               (unavailable ? read.timeout : read.wait)});
             }
-            answer_due(away);
+            answer_due(unavailable);
         }
     }
 
-    /// @return longest time between the begins of two reads of a table
+    /// @return longest time between the starts of consecutive reads of a table
     duration longest_gap(followed_table table) const
     {
         auto const &times = reads.at(table);
@@ -63,10 +66,10 @@
         instant ends_at{};
     };
 
-    void answer_due(bool away)
+    void answer_due(bool unavailable)
     {
         std::erase_if(open_,
-                      [this, away](open_read const &item)
+                      [this, unavailable](open_read const &item)
                       {
                           if (item.ends_at > daemon_.state.now)
                           {
@@ -75,8 +78,8 @@
                           row_read_reply reply;
                           reply.table = item.read.table;
                           reply.whole = item.read.whole;
-                          reply.outcome = away ? row_outcome::failed
-                                               : row_outcome::answered;
+                          reply.outcome = unavailable ? row_outcome::failed
+                                                      : row_outcome::answered;
                           reply.version = 1;
                           daemon_.state.in.row_read_replies.push_back(reply);
                           return true;
@@ -96,20 +99,20 @@
     }
 }
 
-// A read that began just before the store came back is lost with its
-// connection; the next one must not come later than the bound. Found on
-// further/apcm-retornos, trouble-3: the daemon asked again 4 s later and
-// answered 404 for a route that had been added.
+// A read that starts just before the store recovers is lost with its
+// connection; the next one must start within `reconnect_bound`. A daemon that
+// read again only after 4 s answered 404 for a route that had been added
+// meanwhile.
 TEST(relay_store, a_daemon_asks_again_in_time_after_an_outage)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
         relay_fixture daemon;
         daemon.state.random = random_source(seed);
-        played_store store(daemon);
-        store.play(seconds(5), false);
+        simulated_store store(daemon);
+        store.advance(seconds(5), false);
         store.reads.clear();
-        store.play(seconds(30), true);
+        store.advance(seconds(30), true);
         for (auto const table :
              {followed_table::configuration, followed_table::instances})
         {
@@ -126,10 +129,10 @@
     {
         relay_fixture daemon;
         daemon.state.relay.limits.drain_bound = bound;
-        played_store store(daemon);
-        store.play(seconds(30), false);
-        // A read of a slow store takes up to 0.3 s, and a request that was
-        // placed before it may still be on its way.
+        simulated_store store(daemon);
+        store.advance(seconds(30), false);
+        // The margin covers a read from a slow store, up to 0.3 s, and requests
+        // that were placed before it and are still on their way.
         EXPECT_LE(store.longest_gap(followed_table::instances),
                   bound - milliseconds(1000));
     }
@@ -142,8 +145,8 @@
     daemon.state.relay.limits.drain_bound = seconds(4);
     daemon.state.relay.limits.reconnect_bound = seconds(5);
     join_fleet(daemon, 118);
-    played_store store(daemon);
-    store.play(seconds(60), false);
+    simulated_store store(daemon);
+    store.advance(seconds(60), false);
     EXPECT_LE(store.calls, 60U);
 }
 
--- a/test/error/platform_codec_test.cpp
+++ b/test/error/platform_codec_test.cpp
@@ -1,5 +1,5 @@
-// Guards against headers that only the system may set reaching an engine from a
-// caller, and against entries or replies that cannot be read being acted on.
+// Guards against callers that set headers reserved to the system, and against
+// the use of invalid directory entries, configurations or replies.
 #include "directory_codec.hpp"
 #include "platform_codec.hpp"
 #include "random_source.hpp"
