--- a/src/prompt_cache_view.hpp
+++ b/src/prompt_cache_view.hpp
@@ -40,14 +40,12 @@
 public:
     /// @param chain shareable prefixes of a prompt
     /// @return tokens of the longest prefix in `chain` that the engine holds,
-    /// or
-    ///         was sent so recently that its prefill is probably under way
+    ///         or was sent so recently that its prefill is probably under way
     int cached_tokens(prompt_chain const &chain, instant now) const;
 
     /// @param chain shareable prefixes of a prompt
     /// @return tokens of the longest prefix in `chain` whose prefill is
-    /// complete,
-    ///         so that other engines can copy it
+    ///         complete, so that other engines can copy it
     int copyable_tokens(prompt_chain const &chain) const;
 
     /// @param link a shareable prefix of a prompt
--- a/src/routing_configuration.hpp
+++ b/src/routing_configuration.hpp
@@ -71,8 +71,7 @@
                                     std::string_view name);
 
 /// @return for each service, the strictest `target_pause` of the routes that
-/// use
-///         it; services without one are omitted
+///         use it; services without one are omitted
 std::map<std::string, duration>
 pause_bounds_of(routing_configuration const &config);
 
