--- a/src/caller_table.hpp
+++ b/src/caller_table.hpp
@@ -15,10 +15,11 @@
 {
     std::string caller;
     std::string class_name;
-    /// Tokens of the bucket; it starts full.
+    /// Tokens in the bucket; negative until the first request fills it.
     double tokens = -1;
     instant refilled_at{};
-    /// Requests since `counted_at`, refused ones included, and their mean rate.
+    /// Requests since `caller_table::counted_at`, including refused ones, and
+    /// their smoothed rate.
     int requests = 0;
     double requests_per_second = 0;
     /// Share of the caller's limit that this daemon grants.
--- a/src/limit_callers.cpp
+++ b/src/limit_callers.cpp
@@ -10,13 +10,14 @@
 namespace
 {
 
-constexpr duration count_interval = seconds(1);
+constexpr duration measuring_interval = seconds(1);
+/// Weight of the last interval in the mean rate of a caller.
 constexpr double demand_weight = 0.3;
-/// Demand below which a caller is forgotten, in requests a second.
-constexpr double idle_demand = 0.01;
-/// Part of an equal share that is granted whatever the peers report, so that a
-/// caller who moves to this daemon is not shut out.
-constexpr double min_equal_part = 0.25;
+/// Demand below which a caller counts as idle and is removed from the table.
+constexpr double idle_requests_per_second = 0.01;
+/// Fraction of an equal share that is granted whatever the peers report, so
+/// that a caller that moves to this daemon is not rejected outright.
+constexpr double min_equal_fraction = 0.25;
 
 std::string key_of(std::string const &caller, std::string const &class_name)
 {
@@ -47,15 +48,15 @@
     return out;
 }
 
-double share_of(double own, double others, int daemons)
+double share_of(double local, double reported, int daemons)
 {
     auto const equal = 1.0 / daemons;
-    if (others <= 0)
+    if (reported <= 0)
     {
         return equal;
     }
-    auto const demanded = own / (own + others);
-    return std::max(demanded, min_equal_part * equal);
+    auto const demanded = local / (local + reported);
+    return std::max(demanded, min_equal_fraction * equal);
 }
 
 void publish_demand(world &w)
@@ -70,15 +71,16 @@
 
 void refill(caller_rate &rate, double limit, double burst, instant now)
 {
-    auto const most = std::max(1.0, burst * rate.share);
+    auto const capacity = std::max(1.0, burst * rate.share);
     if (rate.tokens < 0)
     {
-        rate.tokens = most;
+        rate.tokens = capacity;
     }
     else
     {
         auto const passed = to_seconds(now - rate.refilled_at);
-        rate.tokens = std::min(most, rate.tokens + passed * limit * rate.share);
+        rate.tokens =
+            std::min(capacity, rate.tokens + passed * limit * rate.share);
     }
     rate.refilled_at = now;
 }
@@ -88,27 +90,28 @@
 void limit_callers(world &w)
 {
     auto const passed = w.now - w.callers.counted_at;
-    if (passed < count_interval)
+    if (passed < measuring_interval)
     {
         return;
     }
     w.callers.counted_at = w.now;
-    auto const others = peer_demand(w);
+    auto const reported = peer_demand(w);
     for (auto &[key, rate] : w.callers.rates)
     {
-        auto const seen = rate.requests / to_seconds(passed);
+        auto const measured = rate.requests / to_seconds(passed);
         rate.requests = 0;
         rate.requests_per_second +=
-            demand_weight * (seen - rate.requests_per_second);
-        auto const found = others.find(key);
+            demand_weight * (measured - rate.requests_per_second);
+        auto const found = reported.find(key);
         rate.share = share_of(rate.requests_per_second,
-                              found == others.end() ? 0 : found->second,
+                              found == reported.end() ? 0 : found->second,
                               live_daemons(w));
     }
     std::erase_if(w.callers.rates,
                   [&w](auto const &item)
                   {
-                      return item.second.requests_per_second < idle_demand &&
+                      return item.second.requests_per_second <
+                                 idle_requests_per_second &&
                              w.now - item.second.refilled_at > seconds(10);
                   });
     publish_demand(w);
--- a/test/correctness/limit_callers_test.cpp
+++ b/test/correctness/limit_callers_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a caller who gets the whole limit from every daemon, and
-// against a caller shut out because all of its requests reach one daemon.
+// Guards against granting a caller its full limit on every daemon, and against
+// rejecting a caller because all of its requests reach one daemon.
 #include "limit_callers.hpp"
 #include "policy_world.hpp"
 
@@ -48,7 +48,7 @@
     peer.condition = peer_condition::live;
     peer.demand = {{"fair", "lookup", 1.0}};
     auto const admitted = admitted_in(w, 30, 100);
-    // Nearly the whole limit of 40 a second, after the demand is measured.
+    // Nearly the full limit of 40 per second, once the demand is measured.
     EXPECT_GE(admitted, 1000);
     EXPECT_LE(admitted, 1300);
 }
