--- a/src/break_circuits.cpp
+++ b/src/break_circuits.cpp
@@ -10,27 +10,32 @@
 namespace
 {
 
+/// Consecutive failures that open a circuit.
 constexpr int max_failures = 3;
-/// An engine that takes this many times the predicted time is grey.
-constexpr double grey_slowness = 3.0;
-/// A probe closes the circuit when the engine is faster than this.
+/// Ratio of observed to predicted time above which an engine counts as degraded
+/// and its circuit opens.
+constexpr double degraded_slowness = 3.0;
+/// A probe closes the circuit when the engine's slowness is below this ratio.
 constexpr double healthy_slowness = 1.8;
+/// Samples needed before slowness opens a circuit, and samples of a half-open
+/// engine after which slowness opens its circuit again.
 constexpr int min_samples = 4;
-constexpr duration first_pause = seconds(3);
-constexpr duration longest_pause = seconds(30);
-constexpr duration slow_start = seconds(3);
-/// Requests that an engine may have at the begin of its slow start.
+constexpr duration min_open_time = seconds(3);
+constexpr duration max_open_time = seconds(30);
+constexpr duration slow_start_time = seconds(3);
+/// Limit of the open requests on an engine at the beginning of its slow start.
 constexpr double slow_start_requests = 2;
-/// Requests at which the slow start ends to matter.
-constexpr double slow_start_range = 40;
+/// Requests by which the limit grows in the course of the slow start.
+constexpr double slow_start_growth = 40;
 
 void open(world &w, circuit &target)
 {
     target.phase = circuit_phase::open;
-    target.pause = std::clamp(target.pause * 2, first_pause, longest_pause);
-    target.reopens_at = w.now + target.pause;
+    target.open_time =
+        std::clamp(target.open_time * 2, min_open_time, max_open_time);
+    target.half_open_at = w.now + target.open_time;
     target.failures = 0;
-    wake_at(w, target.reopens_at);
+    wake_at(w, target.half_open_at);
 }
 
 void close(world const &w, circuit &target)
@@ -61,13 +66,13 @@
     }
 }
 
-void judge_speed(world &w, engine_index index)
+void check_slowness(world &w, engine_index index)
 {
     auto &target = w.circuits.engine(index.value());
     auto &costs = w.costs.engine(index);
     auto const &name = w.engines.at(index).definition.name;
     if (target.phase == circuit_phase::closed &&
-        costs.slowness > grey_slowness && costs.samples >= min_samples)
+        costs.slowness > degraded_slowness && costs.samples >= min_samples)
     {
         open(w, target);
         log_change(w, name, "circuit_opened");
@@ -81,7 +86,7 @@
     }
     if (costs.slowness < healthy_slowness)
     {
-        target.pause = {};
+        target.open_time = {};
         close(w, target);
         log_change(w, name, "circuit_closed");
     }
@@ -91,7 +96,7 @@
     }
 }
 
-void judge_engine_event(world &w, engine_event const &event)
+void record_engine_event(world &w, engine_event const &event)
 {
     auto const *attempt = w.attempts.find(event.attempt);
     if (attempt == nullptr || !attempt->engine)
@@ -107,10 +112,10 @@
         return;
     }
     w.circuits.engine(index.value()).failures = 0;
-    judge_speed(w, index);
+    check_slowness(w, index);
 }
 
-void judge_reply(world &w, service_reply const &reply)
+void record_service_reply(world &w, service_reply const &reply)
 {
     auto const *attempt = w.attempts.find(reply.attempt);
     if (attempt == nullptr || !attempt->endpoint)
@@ -127,13 +132,13 @@
     target.failures = 0;
     if (target.phase == circuit_phase::half_open)
     {
-        target.pause = {};
+        target.open_time = {};
         close(w, target);
     }
 }
 
 /// An engine that becomes ready begins with a slow start.
-void note_readiness(world &w, load_report const &report)
+void record_readiness(world &w, load_report const &report)
 {
     auto const index = w.engines.find(report.engine);
     if (!index)
@@ -148,17 +153,17 @@
     target.was_ready = report.ready;
 }
 
-bool pause_ended(circuit const &target, instant now)
+bool open_time_ended(circuit const &target, instant now)
 {
-    return target.phase == circuit_phase::open && target.reopens_at <= now;
+    return target.phase == circuit_phase::open && target.half_open_at <= now;
 }
 
-void end_pauses(world &w)
+void half_open_due_circuits(world &w)
 {
     for (std::uint32_t i = 0; i < w.engines.all().size(); ++i)
     {
         auto &target = w.circuits.engine(i);
-        if (pause_ended(target, w.now))
+        if (open_time_ended(target, w.now))
         {
             auto &costs = w.costs.engine(engine_index(i));
             target.phase = circuit_phase::half_open;
@@ -168,7 +173,7 @@
     for (std::uint32_t i = 0; i < w.endpoints.all().size(); ++i)
     {
         auto &target = w.circuits.endpoint(i);
-        if (pause_ended(target, w.now))
+        if (open_time_ended(target, w.now))
         {
             target.phase = circuit_phase::half_open;
         }
@@ -180,16 +185,16 @@
 void break_circuits(world &w)
 {
     std::ranges::for_each(w.in.load_reports, [&w](load_report const &report)
-                          { note_readiness(w, report); });
+                          { record_readiness(w, report); });
     std::ranges::for_each(w.in.engine_events, [&w](engine_event const &event)
-                          { judge_engine_event(w, event); });
+                          { record_engine_event(w, event); });
     std::ranges::for_each(w.in.service_replies, [&w](service_reply const &reply)
-                          { judge_reply(w, reply); });
+                          { record_service_reply(w, reply); });
     if (w.now >= w.circuits.next_check)
     {
-        // Pauses last seconds, so that a scan ten times a second is enough.
+        // Circuits stay open for seconds, so a scan every 100 ms is enough.
         w.circuits.next_check = w.now + milliseconds(100);
-        end_pauses(w);
+        half_open_due_circuits(w);
     }
 }
 
@@ -197,7 +202,7 @@
                     engine_index index)
 {
     auto const &target = w.circuits.engine(index.value());
-    auto const own = w.engines.at(index).own_requests;
+    auto const open_requests = w.engines.at(index).own_requests;
     if (target.phase == circuit_phase::open)
     {
         return false;
@@ -206,20 +211,20 @@
     {
         bool const urgent =
             request.kind.priority == 0 && !request.kind.may_wait;
-        return own == 0 && !urgent;
+        return open_requests == 0 && !urgent;
     }
-    auto const warm =
-        to_seconds(w.now - target.closed_at) / to_seconds(slow_start);
-    return target.closed_at == instant{} || warm >= 1 ||
-           own < slow_start_requests + warm * slow_start_range;
+    auto const progress =
+        to_seconds(w.now - target.closed_at) / to_seconds(slow_start_time);
+    return target.closed_at == instant{} || progress >= 1 ||
+           open_requests < slow_start_requests + progress * slow_start_growth;
 }
 
 bool circuit_allows(world const &w, endpoint_index index)
 {
     auto const &target = w.circuits.endpoint(index.value());
-    auto const own = w.endpoints.at(index).own_requests;
+    auto const open_requests = w.endpoints.at(index).own_requests;
     return target.phase == circuit_phase::closed ||
-           (target.phase == circuit_phase::half_open && own == 0);
+           (target.phase == circuit_phase::half_open && open_requests == 0);
 }
 
 } // namespace agateledge
--- a/src/break_circuits.hpp
+++ b/src/break_circuits.hpp
@@ -10,17 +10,18 @@
 struct world;
 
 /// Opens the circuit of an engine or endpoint that fails repeatedly or is far
-/// slower than its role's model, and closes it after a successful probe. Runs
-/// before the tick's events end their attempts.
+/// slower than its role's model, and closes it after a successful probe. Must
+/// run while the attempts of this tick's events are still open.
 void break_circuits(world &w);
 
-/// @return true when the engine's circuit lets the request through. An open
-///         circuit lets nothing through; a half-open one lets a probe through
-///         that is not of the most urgent class; a slow start bounds the work.
+/// @return true when the engine's circuit admits the request. An open circuit
+///         admits none; a half-open one admits one probe at a time, which may
+///         not be of the most urgent priority unless its class may wait. In the
+///         slow start after closing, the number of open requests is limited.
 bool circuit_allows(world const &w, request_state const &request,
                     engine_index engine);
 
-/// @return true when the endpoint's circuit lets a call through
+/// @return true when the endpoint's circuit admits a call
 bool circuit_allows(world const &w, endpoint_index endpoint);
 
 } // namespace agateledge
--- a/src/circuit_table.hpp
+++ b/src/circuit_table.hpp
@@ -11,7 +11,7 @@
 enum class circuit_phase
 {
     closed,
-    /// No work is sent until the pause ends.
+    /// No work is sent until `circuit::half_open_at`.
     open,
     /// One probe at a time is sent.
     half_open,
@@ -22,12 +22,14 @@
 {
     circuit_phase phase = circuit_phase::closed;
     int failures = 0;
-    /// Pause of the next opening; doubles up to a bound.
-    duration pause{};
-    instant reopens_at{};
-    /// Begin of the slow start after the circuit closed or the target came.
+    /// Time for which the circuit last stayed open; doubles with each opening
+    /// up to a bound, and is reset when a probe succeeds.
+    duration open_time{};
+    /// Time at which an open circuit becomes half open.
+    instant half_open_at{};
+    /// Start of the slow start: the circuit closed or the engine became ready.
     instant closed_at{};
-    /// Samples of the target when the circuit became half open.
+    /// Samples of the engine's speed when the circuit became half open.
     int samples_before_probe = 0;
     bool was_ready = true;
 };
@@ -48,7 +50,7 @@
         return at(endpoints_, index);
     }
 
-    /// Time of the next look for pauses that ended.
+    /// Time of the next scan for circuits that become half open.
     instant next_check{};
 
 private:
--- a/test/correctness/break_circuits_test.cpp
+++ b/test/correctness/break_circuits_test.cpp
@@ -1,5 +1,5 @@
-// Guards against work for an engine that fails or runs at a tenth of the
-// speed, and against an engine that is never tried again.
+// Guards against sending work to an engine that fails or runs at a tenth of its
+// speed, and against an engine that is never probed again.
 #include "break_circuits.hpp"
 #include "policy_world.hpp"
 #include "request_lifecycle.hpp"
@@ -11,7 +11,7 @@
 
 using namespace agateledge;
 
-void fail_once(world &w, std::uint64_t number)
+void fail_attempt(world &w, std::uint64_t number)
 {
     auto &request = w.requests.add(make_policy_request(w, number, 500));
     auto const &attempt = begin_engine_attempt(w, request, engine_index(0));
@@ -30,7 +30,7 @@
     EXPECT_TRUE(circuit_allows(w, request, engine_index(0)));
     for (std::uint64_t i = 1; i <= 3; ++i)
     {
-        fail_once(w, i);
+        fail_attempt(w, i);
     }
     EXPECT_FALSE(circuit_allows(w, request, engine_index(0)));
     w.in = {};
