--- a/src/decision_hooks.hpp
+++ b/src/decision_hooks.hpp
@@ -14,8 +14,9 @@
 struct request_state;
 struct world;
 
-/// Replacements for single decisions. A daemon sets none; `policy_bench` plugs
-/// its baselines and the oracle in here, so that they share the dispatch code.
+/// Replacements for single decisions. A daemon sets none; `policy_bench`
+/// installs its baseline policies and its oracle here, so that they share the
+/// dispatch code.
 struct decision_hooks
 {
     /// Replaces the choice of `select_engine`.
@@ -23,12 +24,13 @@
         select;
     /// Replaces `plan_role_changes`.
     std::function<void(world &)> plan_roles;
-    /// Takes up an order in place of `request_order`.
+    /// Accepts an order in place of `request_order`.
     std::function<bool(world &, engine_order const &)> order;
-    /// Answers whether this daemon may plan for a data centre, in place of the
+    /// Decides whether this daemon may plan for a data centre, in place of the
     /// lease table.
     std::function<bool(world const &, std::string const &)> plans_for;
-    /// Daemons that share the load, in place of the peer table's count.
+    /// Number of daemons that share the load, in place of the peer table's
+    /// count; 0 for none.
     int live_daemons = 0;
     /// Sends requests in order of arrival and refuses none, as a plain load
     /// balancer does.
--- a/src/decision_ring.hpp
+++ b/src/decision_ring.hpp
@@ -15,7 +15,7 @@
 
 enum class decision_kind : std::uint8_t
 {
-    /// An engine was weighed; `reason` says how it fared.
+    /// An engine was considered; `reason` gives the result.
     candidate,
     /// An attempt on an engine or endpoint began.
     attempt,
@@ -25,8 +25,8 @@
     finished,
 };
 
-/// One step on the way of a request. Of fixed size, so that recording costs one
-/// store and no allocation.
+/// One step in the processing of a request. It has a fixed size, so that
+/// recording it needs one store and no allocation.
 struct decision
 {
     instant at{};
@@ -35,6 +35,7 @@
     result_code code = result_code::ok;
     /// Index of the engine or endpoint; `no_target` for none.
     std::uint32_t target = no_target;
+    /// True when `target` is an engine, false when it is an endpoint.
     bool on_engine = true;
     /// Predicted cost in microseconds; negative for none.
     std::int64_t cost_us = -1;
@@ -44,7 +45,7 @@
     static constexpr std::uint32_t no_target = ~std::uint32_t{0};
 };
 
-/// The last decisions; older ones are overwritten.
+/// Ring buffer of the last decisions; older ones are overwritten.
 class decision_ring
 {
 public:
@@ -62,7 +63,7 @@
         ++count_;
     }
 
-    /// Calls `visit` with each decision that is still there, oldest first.
+    /// Calls `visit` with each decision that is still stored, oldest first.
     template <class Visitor>
     void for_each(Visitor visit) const
     {
@@ -73,8 +74,8 @@
         }
     }
 
-    /// @return decisions that were overwritten
-    std::size_t lost() const
+    /// @return number of decisions that were overwritten
+    std::size_t overwritten() const
     {
         return count_ > capacity ? count_ - capacity : 0;
     }
--- a/src/explain_decision.cpp
+++ b/src/explain_decision.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Most rows of an answer; the last ones are kept.
+/// Maximum number of rows of an answer; the latest are kept.
 constexpr Json::ArrayIndex max_rows = 200;
 
 std::string_view name_of(decision_kind kind)
@@ -64,7 +64,7 @@
     return row;
 }
 
-bool concerns(world const &w, why_statement const &why, decision const &item)
+bool matches(world const &w, why_statement const &why, decision const &item)
 {
     switch (why.subject)
     {
@@ -85,7 +85,7 @@
     w.queries.decisions.for_each(
         [&](decision const &item)
         {
-            if (concerns(w, why, item))
+            if (matches(w, why, item))
             {
                 rows.append(row_of(w, item));
             }
@@ -97,13 +97,13 @@
     return rows;
 }
 
-/// Says why an engine takes no work; empty when it does.
-Json::Value obstacles_of(engine_state const &engine)
+/// @return array of the reasons why an engine takes no work; empty when it does
+Json::Value reasons_against(engine_state const &engine)
 {
     Json::Value reasons(Json::arrayValue);
-    auto const add = [&reasons](bool holds, char const *reason)
+    auto const add = [&reasons](bool applies, char const *reason)
     {
-        if (holds)
+        if (applies)
         {
             reasons.append(reason);
         }
@@ -130,14 +130,15 @@
         out["columns"].append(column);
     }
     out["rows"] = rows_of(w, why);
-    out["decisions_overwritten"] = Json::UInt64(w.queries.decisions.lost());
+    out["decisions_overwritten"] =
+        Json::UInt64(w.queries.decisions.overwritten());
     auto const engine = why.subject == why_subject::engine
                             ? w.engines.find(why.engine)
                             : std::nullopt;
     if (engine)
     {
         out["takes_work"] = w.engines.at(*engine).takes_work();
-        out["reasons"] = obstacles_of(w.engines.at(*engine));
+        out["reasons"] = reasons_against(w.engines.at(*engine));
     }
     return out;
 }
--- a/src/explain_decision.hpp
+++ b/src/explain_decision.hpp
@@ -12,8 +12,8 @@
 
 /// Answers a `why` statement from the last decisions of this daemon.
 ///
-/// @return object with `columns`, `rows` and, for an engine, `takes_work` and
-///         `reasons`
+/// @return object with `columns`, `rows`, `decisions_overwritten` and, for an
+///         engine, `takes_work` and `reasons`
 Json::Value explain_decision(world const &w, why_statement const &why);
 
 } // namespace agateledge
--- a/src/record_decision.hpp
+++ b/src/record_decision.hpp
@@ -10,7 +10,7 @@
 
 struct world;
 
-/// Records that an engine was weighed for a request.
+/// Records that an engine was considered for a request.
 ///
 /// @param cost predicted cost; negative when it was not computed
 /// @param reason text of static storage duration, for example "chosen"
@@ -23,7 +23,7 @@
 /// Records an attempt on an endpoint of a plain service.
 void record_attempt(world &w, request_number request, endpoint_index endpoint);
 
-/// Records a step of a request that concerns no engine.
+/// Records a step of a request that has no engine or endpoint.
 ///
 /// @param reason text of static storage duration
 void record_step(world &w, request_number request, decision_kind kind,
