--- a/src/dispatch_queue.cpp
+++ b/src/dispatch_queue.cpp
@@ -10,20 +10,20 @@
     auto &target = lanes_[lane_name];
     target.waiting.emplace(rank, request);
     expiries_.emplace(expires, request);
-    places_[request] = {&target, rank, expires};
+    positions_[request] = {&target, rank, expires};
 }
 
 void dispatch_queue::remove(request_number request)
 {
-    auto const found = places_.find(request);
-    if (found == places_.end())
+    auto const found = positions_.find(request);
+    if (found == positions_.end())
     {
         return;
     }
-    auto const &place = found->second;
-    place.in->waiting.erase({place.rank, request});
-    expiries_.erase({place.expires, request});
-    places_.erase(found);
+    auto const &position = found->second;
+    position.queued_in->waiting.erase({position.rank, request});
+    expiries_.erase({position.expires, request});
+    positions_.erase(found);
 }
 
 std::vector<request_number> dispatch_queue::take_expired(instant now)
--- a/src/dispatch_queue.hpp
+++ b/src/dispatch_queue.hpp
@@ -16,8 +16,8 @@
 
 /// Requests that wait for an engine or endpoint. A lane holds the requests that
 /// compete for the same engines, ordered by rank: the arrival time plus a delay
-/// for each level of priority, so that a request that waits long enough passes
-/// every later one.
+/// for each level of priority. A request that has waited long enough is thereby
+/// served before every later arrival.
 class dispatch_queue
 {
 public:
@@ -26,7 +26,7 @@
     struct lane
     {
         std::set<ranked> waiting;
-        /// No attempt to dispatch is made before this time.
+        /// The lane is not dispatched from before this time.
         instant blocked_until{};
     };
 
@@ -47,19 +47,19 @@
     /// @return the earliest time at which a request expires, or the maximum
     instant next_expiry() const;
 
-    std::size_t size() const { return places_.size(); }
+    std::size_t size() const { return positions_.size(); }
 
 private:
-    struct place
+    struct queue_position
     {
-        lane *in = nullptr;
+        lane *queued_in = nullptr;
         instant rank;
         instant expires;
     };
 
     std::map<std::string, lane> lanes_;
     std::set<ranked> expiries_;
-    std::unordered_map<request_number, place> places_;
+    std::unordered_map<request_number, queue_position> positions_;
 };
 
 } // namespace agateledge
--- a/src/due_queue.hpp
+++ b/src/due_queue.hpp
@@ -12,15 +12,15 @@
 namespace agateledge
 {
 
-/// Items by the time at which they are due. An item may be queued several
-/// times; its owner decides when it is taken whether it is still of use.
+/// Items ordered by the time at which they are due. An item may be queued
+/// several times; the owner checks on `take` whether it still applies.
 template <class Item>
 class due_queue
 {
 public:
     void add(instant when, Item item) { queue_.emplace(when, item); }
 
-    /// @return the earliest item that is due at `now`, which leaves the queue
+    /// Removes and returns the earliest item that is due at `now`, if any.
     std::optional<Item> take(instant now)
     {
         if (queue_.empty() || queue_.top().first > now)
--- a/src/endpoint_table.hpp
+++ b/src/endpoint_table.hpp
@@ -12,11 +12,13 @@
 namespace agateledge
 {
 
-/// What this daemon knows of one endpoint of a plain service.
+/// This daemon's view of one endpoint of a plain service.
 struct endpoint_state
 {
     endpoint_definition definition;
+    /// False once the configuration no longer lists the endpoint.
     bool configured = true;
+    /// Calls that this daemon has open on the endpoint.
     int own_requests = 0;
     /// True when the platform lists the endpoint's host as leaving.
     bool leaving = false;
@@ -33,7 +35,8 @@
 class endpoint_table
 {
 public:
-    /// Takes over the endpoints of a configuration.
+    /// Applies the endpoints of a configuration: adds new ones, updates known
+    /// ones and clears `configured` of those that are no longer listed.
     void configure(std::vector<endpoint_definition> const &definitions);
 
     /// @return the index of the endpoint of that name, or nothing
--- a/src/follow_changes.cpp
+++ b/src/follow_changes.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-bool is_over(world const &w, engine_state const &engine,
-             change_notice const &notice)
+bool has_ended(world const &w, engine_state const &engine,
+               change_notice const &notice)
 {
     return w.now - notice.heard >= change_notice_lifetime ||
            (engine.report && engine.report->generation > notice.generation);
@@ -24,13 +24,13 @@
 
 void follow_changes(world &w)
 {
-    std::vector<std::string> over;
+    std::vector<std::string> ended;
     for (auto &[name, notice] : w.orders.notices)
     {
         auto const index = w.engines.find(name);
-        if (is_over(w, w.engines.at(*index), notice))
+        if (has_ended(w, w.engines.at(*index), notice))
         {
-            over.push_back(name);
+            ended.push_back(name);
             continue;
         }
         wake_at(w, notice.heard + change_notice_lifetime);
@@ -41,7 +41,7 @@
             move_open_work(w, *index);
         }
     }
-    for (auto const &name : over)
+    for (auto const &name : ended)
     {
         w.orders.notices.erase(name);
         refresh_changing(w, name);
--- a/src/follow_changes.hpp
+++ b/src/follow_changes.hpp
@@ -6,9 +6,9 @@
 
 struct world;
 
-/// Acts on notices that other daemons are changing an engine: ends those whose
-/// change is over or was not confirmed lately, and moves the open work of this
-/// daemon that outlasts the drain.
+/// Processes the notices that other daemons are changing an engine: removes
+/// those whose change has ended or that were not renewed in time, and moves
+/// this daemon's open work off the engine after the drain time-out.
 void follow_changes(world &w);
 
 } // namespace agateledge
--- a/src/forward_answers.cpp
+++ b/src/forward_answers.cpp
@@ -15,17 +15,17 @@
 namespace
 {
 
-void end_prefill(world &w, attempt_state &attempt)
+void release_prefill_load(world &w, attempt_state &attempt)
 {
     auto &engine = w.engines.at(*attempt.engine);
     engine.own_prefill_tokens -= attempt.counted_prefill_tokens;
     attempt.counted_prefill_tokens = 0;
 }
 
-/// @return true when the chunk follows the last one and does not cross the end
-///         of what was delivered before
-bool continues(request_state const &request, attempt_state const &attempt,
-               engine_event const &event)
+/// @return true when the chunk follows the attempt's last one and is either a
+///         repetition of delivered tokens or begins right after them
+bool is_contiguous(request_state const &request, attempt_state const &attempt,
+                   engine_event const &event)
 {
     int const end = event.offset + event.tokens;
     bool const delivered = end <= request.delivered_tokens;
@@ -33,9 +33,9 @@
            (delivered || event.offset == request.delivered_tokens);
 }
 
-void note_progress(world &w, attempt_state &attempt, int tokens)
+void record_progress(world &w, attempt_state &attempt, int tokens)
 {
-    end_prefill(w, attempt);
+    release_prefill_load(w, attempt);
     attempt.next_offset += tokens;
     attempt.last_progress_at = w.now;
     if (!attempt.first_token_at)
@@ -52,12 +52,12 @@
         ++w.totals.events_dropped;
         return;
     }
-    if (!continues(request, attempt, event))
+    if (!is_contiguous(request, attempt, event))
     {
         lose_attempt(w, request, attempt.attempt, attempt_loss::interrupted);
         return;
     }
-    note_progress(w, attempt, event.tokens);
+    record_progress(w, attempt, event.tokens);
     if (attempt.next_offset <= request.delivered_tokens)
     {
         return;
@@ -130,7 +130,7 @@
 {
     auto const number = request.arrival.request;
     settle_done(w, number, reply.http_status, reply.body);
-    note_call_latency(w, request, *w.attempts.find(reply.attempt));
+    record_call_latency(w, request, *w.attempts.find(reply.attempt));
     caller_reply out;
     out.request = number;
     out.kind = caller_reply_kind::finished;
@@ -157,7 +157,8 @@
     refuse_request(w, request.arrival.request,
                    w.faults.refuse_after_send ? result_code::no_endpoint
                                               : result_code::outcome_unknown,
-                   "the endpoint's answer was lost");
+                   "the endpoint was sent the call but returned no complete "
+                   "answer");
 }
 
 void handle_service_reply(world &w, service_reply const &reply)
--- a/src/hedge_calls.cpp
+++ b/src/hedge_calls.cpp
@@ -18,14 +18,14 @@
 /// has no finish deadline.
 constexpr duration default_call_timeout = seconds(10);
 
-/// Least time that a call gets when its deadline is near: a booking that was
-/// sent is better awaited than left with an unknown outcome.
-constexpr duration least_call_timeout = seconds(1);
+/// Shortest time-out of a call whose deadline is near: waiting for the answer
+/// to a booking that was sent is better than leaving its outcome unknown.
+constexpr duration min_call_timeout = seconds(1);
 
-/// Least time before a call is hedged.
-constexpr duration least_hedge_delay = milliseconds(20);
+/// Shortest time before a call is hedged.
+constexpr duration min_hedge_delay = milliseconds(20);
 
-constexpr double hedged_quantile = 0.95;
+constexpr double hedge_delay_quantile = 0.95;
 
 duration timeout_of(world const &w, request_state const &request)
 {
@@ -34,14 +34,14 @@
     {
         return default_call_timeout;
     }
-    return std::max(least_call_timeout, request.arrived_at + deadline - w.now);
+    return std::max(min_call_timeout, request.arrived_at + deadline - w.now);
 }
 
-void plan_hedge(world &w, request_state const &request)
+void schedule_hedge(world &w, request_state const &request)
 {
     auto const &latencies = w.call_latencies[request.kind.service];
     auto const delay =
-        std::max(least_hedge_delay, latencies.quantile(hedged_quantile));
+        std::max(min_hedge_delay, latencies.quantile(hedge_delay_quantile));
     w.hedges.add(w.now + delay, request.arrival.request);
 }
 
@@ -81,12 +81,12 @@
     mark_sent(w, request.arrival.request, true);
     if (request.arrival.idempotent && !request.hedge)
     {
-        plan_hedge(w, request);
+        schedule_hedge(w, request);
     }
 }
 
-void note_call_latency(world &w, request_state const &request,
-                       attempt_state const &attempt)
+void record_call_latency(world &w, request_state const &request,
+                         attempt_state const &attempt)
 {
     w.call_latencies[request.kind.service].add(w.now - attempt.started_at);
 }
--- a/src/latency_window.hpp
+++ b/src/latency_window.hpp
@@ -9,13 +9,13 @@
 namespace agateledge
 {
 
-/// The last latencies of one kind of call.
+/// The most recent latencies of one kind of call.
 class latency_window
 {
 public:
     void add(duration value);
 
-    /// @param share part of the calls that took no longer, for example 0.95
+    /// @param share fraction of the calls that took no longer, for example 0.95
     /// @return the latency, or 0 before the first call
     duration quantile(double share) const;
 
--- a/src/move_open_work.cpp
+++ b/src/move_open_work.cpp
@@ -19,7 +19,8 @@
             open.push_back(number);
         }
     }
-    // The table's order differs between standard libraries.
+    // Sorted, since the table's iteration order differs between standard
+    // libraries.
     std::ranges::sort(open);
     auto const &definition = w.engines.at(engine).definition;
     for (auto const number : open)
--- a/src/receive_requests.cpp
+++ b/src/receive_requests.cpp
@@ -71,7 +71,7 @@
         state.delivered_tokens = arrival.resume->offset + shift;
         state.text_offset = state.delivered_tokens;
         state.reattach = *arrival.resume;
-        // Another daemon accepted the request, so it keeps its whole answer.
+        // Another daemon has accepted the request, so it must be completed.
         state.accepted = true;
     }
     state.arrival = std::move(arrival);
@@ -80,7 +80,7 @@
     w.waiting.push_back(number);
 }
 
-void receive(world &w, request_arrival &arrival)
+void accept_arrival(world &w, request_arrival &arrival)
 {
     ++w.totals.requests;
     arrival.idempotent |= asks_for_outcome(arrival);
@@ -97,16 +97,16 @@
         refuse_arrival(w, arrival,
                        plain ? result_code::unknown_service
                              : result_code::unknown_model,
-                       plain ? "no service \"" + arrival.service + "\""
-                             : "no model \"" + arrival.model + "\"");
+                       plain ? "unknown service \"" + arrival.service + "\""
+                             : "unknown model \"" + arrival.model + "\"");
         return;
     }
     auto const *kind = find_class(w.config, service->name, arrival.class_name);
     if (kind == nullptr)
     {
         refuse_arrival(w, arrival, result_code::unknown_class,
-                       "no class \"" + arrival.class_name + "\" in service \"" +
-                           service->name + "\"");
+                       "unknown class \"" + arrival.class_name +
+                           "\" in service \"" + service->name + "\"");
         return;
     }
     if ((!arrival.idempotent || asks_for_outcome(arrival)) &&
@@ -120,14 +120,14 @@
     {
         refuse_arrival(w, arrival, result_code::caller_limit,
                        "caller \"" + arrival.caller +
-                           "\" is over its limit in class \"" + kind->name +
-                           "\"");
+                           "\" exceeds its request rate in class \"" +
+                           kind->name + "\"");
         return;
     }
     store_arrival(w, arrival, *kind);
 }
 
-void depart(world &w, request_number number)
+void handle_departure(world &w, request_number number)
 {
     auto *request = w.requests.find(number);
     if (request == nullptr)
@@ -154,9 +154,9 @@
 void receive_requests(world &w)
 {
     std::ranges::for_each(w.in.arrivals, [&w](request_arrival &arrival)
-                          { receive(w, arrival); });
+                          { accept_arrival(w, arrival); });
     std::ranges::for_each(w.in.departures, [&w](caller_departure departure)
-                          { depart(w, departure.request); });
+                          { handle_departure(w, departure.request); });
 }
 
 } // namespace agateledge
--- a/src/receive_requests.hpp
+++ b/src/receive_requests.hpp
@@ -6,10 +6,11 @@
 
 struct world;
 
-/// Takes this tick's arrivals into the request table. A request for an unknown
+/// Adds this tick's arrivals to the request table. A request for an unknown
 /// model, service or class is refused as not run; so is every request while
-/// the daemon drains. Departed callers cancel their work, except that the
-/// outcome of a non-idempotent call is still recorded.
+/// the daemon drains. The request of a caller that disconnected is cancelled,
+/// unless it is a non-idempotent call that may have run: its outcome is still
+/// recorded.
 void receive_requests(world &w);
 
 } // namespace agateledge
--- a/src/retry_budget.hpp
+++ b/src/retry_budget.hpp
@@ -7,17 +7,19 @@
 {
 
 /// Limits retries and hedges to a share of first attempts, so that they cannot
-/// amplify an outage. A floor that refills with time lets a daemon without much
-/// traffic retry as well.
+/// amplify an outage. A small budget also refills with time, so that a daemon
+/// with little traffic can retry.
 class retry_budget
 {
 public:
     /// Counts a first attempt.
     ///
-    /// @param share retries that one first attempt allows
+    /// @param share retries that one first attempt adds to the budget
     void earn(double share);
 
-    /// @return true when a retry may start now; it is then paid for
+    /// Takes one retry from the budget.
+    ///
+    /// @return false when the budget is exhausted
     bool spend(instant now);
 
 private:
--- a/test/correctness/admit_requests_test.cpp
+++ b/test/correctness/admit_requests_test.cpp
@@ -1,5 +1,5 @@
-// Guards against work on requests that cannot be in time, and against refusals
-// of requests that may wait.
+// Guards against dispatching requests that can no longer meet their deadline,
+// and against refusing requests that may wait.
 #include "policy_world.hpp"
 #include "tick.hpp"
 
@@ -42,11 +42,11 @@
 TEST(admit_requests, an_aged_request_passes_new_urgent_ones)
 {
     auto w = make_policy_world({engine_role::mixed});
-    auto patient = w.config.classes.front();
-    patient.name = "manual";
-    patient.priority = 2;
-    patient.may_wait = true;
-    w.config.classes.push_back(patient);
+    auto low_priority = w.config.classes.front();
+    low_priority.name = "manual";
+    low_priority.priority = 2;
+    low_priority.may_wait = true;
+    w.config.classes.push_back(low_priority);
     auto &engine = w.engines.all().front();
     engine.own_prefill_tokens = 1000000;
     auto old = make_policy_request(w, 1, 500).arrival;
--- a/test/correctness/resumed_request_ends_test.cpp
+++ b/test/correctness/resumed_request_ends_test.cpp
@@ -1,6 +1,6 @@
-// Guards against accepted calls that never end: these seeds failed when the
-// admission refused resumed requests, and when a daemon put an empty
-// configuration in force from a row without sections.
+// Guards against accepted calls that never end. These seeds failed when
+// admission refused resumed requests, and when a daemon activated an empty
+// configuration from a row without sections.
 #include "randomised_run.hpp"
 
 #include <gtest/gtest.h>
--- a/test/correctness/stream_model_test.cpp
+++ b/test/correctness/stream_model_test.cpp
@@ -1,6 +1,7 @@
-// Guards against an answer with a gap, an overlap or another answer's text, and
-// against an accepted request that never ends, under any sequence of engine
-// losses, daemon restarts, reconnects, drains and disordered events.
+// Guards against an answer with a gap, an overlap or text of another answer,
+// and against an accepted request that never ends, under random sequences of
+// engine crashes, daemon restarts, reconnects and lost, duplicated or delayed
+// events.
 #include "example_deployment.hpp"
 #include "fixed_seed_check.hpp"
 #include "standin_text.hpp"
@@ -18,7 +19,8 @@
 
 constexpr int answer_tokens = 60;
 
-/// Runs streams against two daemons; the oracle is the whole answer's text.
+/// Runs streams against two daemons and compares each complete answer with the
+/// text that the stand-in engine generates for its seed.
 class stream_model
 {
 public:
@@ -44,7 +46,7 @@
             return fate;
         };
         deployment_.on_reply = [this](std::size_t, caller_reply const &reply)
-        { note_reply(reply); };
+        { check_reply(reply); };
     }
 
     void act(int choice)
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Ends all faults; every answer must then be whole.
+    /// Stops injecting faults; every answer must then be completed.
     void finish()
     {
         disordered_ = false;
@@ -120,7 +122,7 @@
         deployment_.submit(daemon, arrival);
     }
 
-    void note_reply(caller_reply const &reply)
+    void check_reply(caller_reply const &reply)
     {
         auto const index = by_request_.at(reply.request);
         auto &item = streams_[index];
--- a/test/performance/decision_cost_test.cpp
+++ b/test/performance/decision_cost_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a choice of engine whose cost grows with the fleet, and
-// against a tick whose cost grows with the open requests.
+// Guards against an engine selection whose cost grows as fast as the fleet, and
+// against an idle tick whose cost grows with the number of open requests.
 #include "policy_world.hpp"
 #include "select_engine.hpp"
 #include "tick.hpp"
@@ -70,7 +70,7 @@
     auto const full = cost();
     std::cout << "tick: " << empty << " us with none, " << full
               << " us with 10,000 open requests\n";
-    // A scan of 10,000 requests takes more than 100 us.
+    // Allowance in microseconds; a scan of 10,000 requests takes longer.
     EXPECT_LT(full, empty + 100);
 }
 
