--- a/src/admit_requests.cpp
+++ b/src/admit_requests.cpp
@@ -11,9 +11,10 @@
 namespace
 {
 
-/// Share of the first token's deadline that may pass before the request has
-/// its token from an idle engine; the rest covers the work ahead of it there.
-constexpr double deadline_share = 0.8;
+/// Fraction of the first-token deadline within which an idle engine must be
+/// able to return the first token. The rest covers work that is queued ahead of
+/// the request on the engine.
+constexpr double usable_deadline_share = 0.8;
 
 } // namespace
 
@@ -27,16 +28,17 @@
     auto latest = kind.finish_deadline.count() > 0
                       ? request.arrived_at + kind.finish_deadline
                       : instant::max();
-    bool const model = request.arrival.service.empty();
-    bool const waits_for_first =
+    bool const model_request = request.arrival.service.empty();
+    bool const awaits_first_token =
         kind.first_token_deadline.count() > 0 && !request.first_token_at;
-    if (model && waits_for_first)
+    if (model_request && awaits_first_token)
     {
-        auto const left =
-            deadline_share * to_seconds(kind.first_token_deadline) -
-            best_first_token(w, request);
-        latest = std::min(latest, request.arrived_at +
-                                      from_seconds(std::max(0.0, left)));
+        auto const max_wait_seconds =
+            usable_deadline_share * to_seconds(kind.first_token_deadline) -
+            idle_first_token_seconds(w, request);
+        latest =
+            std::min(latest, request.arrived_at +
+                                 from_seconds(std::max(0.0, max_wait_seconds)));
     }
     return latest;
 }
--- a/src/admit_requests.hpp
+++ b/src/admit_requests.hpp
@@ -9,8 +9,10 @@
 struct request_state;
 struct world;
 
-/// @return the time after which a request that has not begun cannot meet its
-///         deadlines any more; the maximum for a class that may wait
+/// Computes how long a request may stay in the queue before its first attempt.
+///
+/// @return the latest time at which the request can be dispatched and still
+///         meet its deadlines; `instant::max()` when its class may wait
 instant latest_start(world const &w, request_state const &request);
 
 } // namespace agateledge
--- a/src/attempt_table.hpp
+++ b/src/attempt_table.hpp
@@ -12,7 +12,7 @@
 namespace agateledge
 {
 
-/// One try to run a request. Exactly one of `engine` and `endpoint` is set.
+/// One attempt to run a request. Exactly one of `engine` and `endpoint` is set.
 struct attempt_state
 {
     attempt_number attempt;
@@ -34,7 +34,7 @@
     std::int64_t counted_kv_tokens = 0;
     /// Prefill work that was ahead of the attempt when it began.
     double backlog_tokens = 0;
-    /// Begin of the present sample of the step time; the offset is negative
+    /// Start of the current sample of the step time; the offset is negative
     /// until the first token.
     int sample_offset = -1;
     instant sample_begun_at{};
@@ -60,8 +60,8 @@
         return states_;
     }
 
-    /// Attempts on engines by the time at which their progress is checked.
-    due_queue<attempt_number> checks;
+    /// Attempts on engines by the time of their next progress check.
+    due_queue<attempt_number> progress_checks;
 
 private:
     std::unordered_map<attempt_number, attempt_state> states_;
--- a/src/candidate_index.cpp
+++ b/src/candidate_index.cpp
@@ -32,11 +32,11 @@
 {
     auto const found = by_service_.find(service);
     return found == by_service_.end()
-               ? none_
+               ? empty_
                : found->second.at(static_cast<std::size_t>(role));
 }
 
-bool candidate_index::generates(std::string const &service) const
+bool candidate_index::has_generating_engine(std::string const &service) const
 {
     return !of(service, engine_role::mixed).empty() ||
            !of(service, engine_role::decode).empty();
--- a/src/cost_table.hpp
+++ b/src/cost_table.hpp
@@ -20,25 +20,27 @@
     /// Step time of a batch of n sequences: base + slope * n, in seconds.
     double step_base = 0.015;
     double step_slope = 0.0004;
-    /// Weighted means of n, of the step time, of n squared and of their
-    /// product; they begin with the line above at n = 8 and n = 32.
+    /// Weighted means of n, the step time, n * n and n * step time. Their
+    /// initial values are those of two samples on the line above, at n = 8 and
+    /// n = 32.
     double mean_n = 20;
     double mean_step = 0.023;
     double mean_nn = 544;
     double mean_n_step = 0.5176;
-    /// Prompt tokens a second, with the work that runs beside them.
+    /// Prompt tokens computed per second, while the engine's other work runs.
     double prefill_rate = 6000;
     /// Sequences that an engine runs at the same time.
     double batch_limit = 48;
-    /// Load that other daemons put on an engine, in the mean.
-    double others_requests = 0;
-    double others_prefill_tokens = 0;
+    /// Mean load that peers put on an engine.
+    double mean_peer_requests = 0;
+    double mean_peer_prefill_tokens = 0;
     int step_samples = 0;
     int prefill_samples = 0;
 };
 
-/// Own work on an engine at one time, to tell it from the others' in a report.
-struct own_load
+/// This daemon's work on an engine at one time. It is subtracted from a load
+/// report to obtain the peers' work.
+struct local_load
 {
     instant at{};
     int requests = 0;
@@ -46,19 +48,20 @@
     std::int64_t kv_tokens = 0;
 };
 
-/// What was learned of one engine.
+/// Costs learned from one engine.
 struct engine_costs
 {
-    /// Observed over predicted time; 1 for an engine like the others.
+    /// Ratio of observed to predicted time; 1 for an average engine of its
+    /// role.
     double slowness = 1.0;
     int samples = 0;
     instant last_sample_at{};
-    std::deque<own_load> history;
+    std::deque<local_load> history;
     /// Share of the prompt tokens that the prefix cache held.
     double hit_share = 0;
 };
 
-/// Output lengths of one class.
+/// Learned output length of one class.
 struct output_estimate
 {
     double mean_tokens = 0;
@@ -67,7 +70,7 @@
     int samples = 0;
 };
 
-/// Observed speeds of engines and output lengths of classes.
+/// Learned speeds of engines and output lengths of classes.
 class cost_table
 {
 public:
@@ -82,7 +85,8 @@
         return outputs_[class_name];
     }
 
-    /// @return the tokens to expect of a class, `fallback` without samples
+    /// @return the expected output of a class in tokens; `fallback` without
+    ///         samples
     double expected_output(std::string const &class_name,
                            double fallback) const;
 
--- a/src/dispatch_requests.cpp
+++ b/src/dispatch_requests.cpp
@@ -19,15 +19,16 @@
 namespace
 {
 
-/// Waiting time that outweighs one level of priority. A full-manual question
-/// at the third level passes new urgent requests after 30 s.
+/// Waiting time that offsets one level of priority. A request of priority 2 is
+/// served before new arrivals of priority 0 after 30 s.
 constexpr duration ageing_per_priority = seconds(15);
 
-/// Requests without room that are tried before the rest of a lane waits.
-constexpr int max_blocked = 4;
+/// Requests of a lane that may find no capacity before the rest of the lane is
+/// skipped.
+constexpr int max_blocked_requests = 4;
 
-/// Time until a lane without room is tried again.
-constexpr duration lane_poll = milliseconds(5);
+/// Time until a lane whose requests found no capacity is tried again.
+constexpr duration lane_retry_interval = milliseconds(5);
 
 engine_call make_call(world const &w, request_state const &request,
                       attempt_state const &attempt)
@@ -59,7 +60,8 @@
     return call;
 }
 
-void announce(world &w, request_state &request, attempt_state const &attempt)
+void reply_accepted(world &w, request_state &request,
+                    attempt_state const &attempt)
 {
     request.accepted = true;
     caller_reply reply;
@@ -71,7 +73,9 @@
     w.out.caller_replies.push_back(std::move(reply));
 }
 
-/// @return true when the request is sent to the engine of its running stream
+/// Sends the request to the engine that runs its stream already.
+///
+/// @return false when the engine is no longer configured
 bool attach_to_engine(world &w, request_state &request)
 {
     auto const stream = std::exchange(request.reattach, std::nullopt);
@@ -81,19 +85,20 @@
         return false;
     }
     auto const &attempt = begin_attached_attempt(w, request, *engine, *stream);
-    announce(w, request, attempt);
+    reply_accepted(w, request, attempt);
     w.out.engine_calls.push_back(make_call(w, request, attempt));
     return true;
 }
 
-/// A prefill engine hands the prompt's KV cache over, unless no engine of the
-/// service generates or part of the answer exists already.
+/// @return true when the engine is to compute the prompt only and export its KV
+///         cache: a prefill engine does, unless no engine of the service
+///         generates answers or part of the answer has been delivered
 bool runs_prefill_only(world const &w, request_state const &request,
                        engine_index engine)
 {
     return w.engines.at(engine).role() == engine_role::prefill &&
            request.kv_key.empty() && request.delivered_tokens == 0 &&
-           w.candidates.generates(request.kind.service);
+           w.candidates.has_generating_engine(request.kind.service);
 }
 
 bool send_to_engine(world &w, request_state &request)
@@ -109,10 +114,10 @@
     }
     auto &attempt = begin_engine_attempt(w, request, *engine);
     attempt.prefill_only = runs_prefill_only(w, request, *engine);
-    announce(w, request, attempt);
+    reply_accepted(w, request, attempt);
     w.out.engine_calls.push_back(make_call(w, request, attempt));
-    // An attempt that fails computes the prompt anew: the exporting engine
-    // keeps the KV cache for one import only.
+    // The exporting engine keeps the KV cache for one import only, so a retry
+    // of this attempt has to compute the prompt again.
     request.kv_address.clear();
     request.kv_key.clear();
     return true;
@@ -133,7 +138,8 @@
     {
         refuse_request(w, request.arrival.request,
                        result_code::configuration_stale,
-                       "the revision in force is not confirmed");
+                       "the configuration revision in force has not been "
+                       "confirmed");
         return true;
     }
     if (!request.arrival.idempotent && !holds_claim(w, request))
@@ -163,13 +169,13 @@
     return send_to_endpoint(w, request);
 }
 
-/// @return time at which the request leaves the queue unserved
+/// @return time at which the request is removed from the queue undispatched
 instant expiry_of(world const &w, request_state const &request)
 {
     auto const &kind = request.kind;
-    bool const begun =
+    bool const started =
         request.accepted || request.attempts > 0 || !request.arrival.idempotent;
-    if (!begun && !w.hooks.plain_queue)
+    if (!started && !w.hooks.plain_queue)
     {
         return latest_start(w, request);
     }
@@ -212,9 +218,9 @@
                 expiry_of(w, *request));
 }
 
-result_code code_of_expiry(request_state const &request)
+result_code expiry_code(request_state const &request)
 {
-    // A non-idempotent call that waits has not been sent.
+    // A non-idempotent call that is still queued has not been sent.
     if (request.attempts > 0 && request.arrival.idempotent)
     {
         return result_code::deadline_exceeded;
@@ -232,13 +238,14 @@
         {
             continue;
         }
-        refuse_request(w, number, code_of_expiry(*request),
-                       "nothing took the request in time for its deadline");
+        refuse_request(w, number, expiry_code(*request),
+                       "no engine or endpoint accepted the request in time "
+                       "for its deadline");
     }
 }
 
 /// @return true when the request leaves the queue
-bool step(world &w, request_number number)
+bool try_dispatch(world &w, request_number number)
 {
     auto *request = w.requests.find(number);
     if (request == nullptr || request->phase != request_phase::waiting)
@@ -262,15 +269,16 @@
     return false;
 }
 
-/// Sends the requests at the head of a lane until some find no room.
-void serve_lane(world &w, dispatch_queue::lane &lane)
+/// Dispatches requests from the head of a lane until `max_blocked_requests` of
+/// them find no capacity.
+void dispatch_lane(world &w, dispatch_queue::lane &lane)
 {
     int blocked = 0;
     auto next = lane.waiting.begin();
-    while (next != lane.waiting.end() && blocked < max_blocked)
+    while (next != lane.waiting.end() && blocked < max_blocked_requests)
     {
         auto const number = (next++)->second;
-        if (step(w, number))
+        if (try_dispatch(w, number))
         {
             w.queue.remove(number);
             continue;
@@ -279,7 +287,7 @@
     }
     if (blocked > 0)
     {
-        lane.blocked_until = w.now + lane_poll;
+        lane.blocked_until = w.now + lane_retry_interval;
     }
 }
 
@@ -302,7 +310,7 @@
         }
         if (lane.blocked_until <= w.now)
         {
-            serve_lane(w, lane);
+            dispatch_lane(w, lane);
         }
         if (!lane.waiting.empty())
         {
--- a/src/dispatch_requests.hpp
+++ b/src/dispatch_requests.hpp
@@ -6,10 +6,10 @@
 
 struct world;
 
-/// Sends waiting requests whose time has come to an engine or endpoint.
-/// Non-idempotent calls go to `claim_calls` first. A request for which nothing
-/// takes work stays in the queue until its finish deadline and is then refused
-/// as not run, if no attempt of it has been made.
+/// Dispatches the waiting requests that are due to an engine or endpoint.
+/// Non-idempotent calls are claimed by `claim_calls` first. A request that no
+/// target accepts stays in the queue until its finish deadline and is then
+/// refused; as not run, if no attempt of it has been made.
 void dispatch_requests(world &w);
 
 } // namespace agateledge
--- a/src/engine_table.hpp
+++ b/src/engine_table.hpp
@@ -15,33 +15,35 @@
 namespace agateledge
 {
 
-/// What this daemon knows of one engine.
+/// This daemon's view of one engine.
 struct engine_state
 {
     engine_definition definition;
-    /// False once the configuration no longer has the engine.
+    /// False once the configuration no longer lists the engine.
     bool configured = true;
     /// Work that this daemon has open on the engine.
     int own_requests = 0;
     int own_prefill_tokens = 0;
     int own_decode_requests = 0;
-    std::int64_t own_kv_tokens = 0;
+    std::int64_t local_kv_tokens = 0;
     /// Work that peers reported open on the engine.
     int peer_requests = 0;
     int peer_prefill_tokens = 0;
     int peer_decode_requests = 0;
-    /// Last load report, and the time at which it was true.
+    /// Last load report, and the time at which it was measured.
     std::optional<load_report> report;
     instant report_measured_at{};
-    /// True while an order takes the engine away, from its recording on.
+    /// True while an order of this daemon or a peer makes the engine
+    /// unavailable, from the time at which the order is recorded.
     bool changing = false;
     /// True when the platform lists the engine's host as leaving.
     bool leaving = false;
-    /// Time since which the engine is to be emptied, if it is.
-    std::optional<instant> emptying_since;
+    /// Time since which the engine has had to drain, if it has to.
+    std::optional<instant> draining_since;
 
-    /// @return true when what runs on the engine must end or move
-    bool must_empty() const
+    /// @return true when the engine gets no new work and its open work must end
+    ///         or move to another engine
+    bool must_drain() const
     {
         return !configured || definition.draining || definition.withdrawn ||
                changing || leaving;
@@ -53,7 +55,7 @@
     /// @return true when new work may be sent to the engine
     bool takes_work() const
     {
-        return !must_empty() && (!report || report->ready);
+        return !must_drain() && (!report || report->ready);
     }
 };
 
@@ -61,8 +63,8 @@
 class engine_table
 {
 public:
-    /// Takes over the engines of a configuration: adds new ones, updates known
-    /// ones and marks those that are gone.
+    /// Applies the engines of a configuration: adds new ones, updates known
+    /// ones and clears `configured` of those that are no longer listed.
     void configure(std::vector<engine_definition> const &definitions);
 
     /// @return the index of the engine of that name, or nothing
--- a/src/estimate_load.hpp
+++ b/src/estimate_load.hpp
@@ -8,7 +8,7 @@
 
 struct world;
 
-/// Present work on an engine, from all daemons.
+/// Current work on an engine, from all daemons.
 struct load_estimate
 {
     double requests = 0;
@@ -16,14 +16,15 @@
     double kv_tokens = 0;
 };
 
-/// Estimates an engine's load from the own work, the peers' heartbeats and the
-/// last report. The others' part of a report loses its weight with its age in
-/// favour of the mean of the role, so that an old idle report is not idle.
+/// Estimates an engine's load from this daemon's open work, the peers'
+/// heartbeats and the engine's last load report. The peers' part of a report
+/// loses weight with the report's age in favour of the role's mean, so that an
+/// outdated report does not make a busy engine look idle.
 load_estimate estimate_load(world const &w, engine_index engine);
 
-/// @return the work of others that the engine's last report shows, as it was
-///         when it was measured
-load_estimate reported_others(world const &w, engine_index engine);
+/// @return the peers' work in the engine's last report, as of the time of its
+///         measurement: the reported work without this daemon's own
+load_estimate reported_peer_load(world const &w, engine_index engine);
 
 } // namespace agateledge
 
--- a/src/learn_costs.cpp
+++ b/src/learn_costs.cpp
@@ -12,32 +12,34 @@
 namespace
 {
 
-/// A step sample covers this many tokens or this time, whichever is first.
+/// A step sample covers this many tokens or this time, whichever ends first.
 constexpr int sample_tokens = 16;
 constexpr duration sample_time = milliseconds(250);
 
 /// Weight of a new step sample.
 constexpr double step_weight = 0.002;
 
-/// A sample moves an estimate as if it were at most this factor away, so that
-/// outliers and a grey engine do not spoil the role's model.
+/// Samples are clamped to this factor around the estimate, so that outliers and
+/// degraded engines do not distort the role's model.
 constexpr double outlier_factor = 1.5;
-constexpr double slowness_factor = 12.0;
+/// Largest ratio of observed to predicted time that a sample counts with.
+constexpr double max_slowness_ratio = 12.0;
 constexpr double slowness_weight = 0.25;
 constexpr double prefill_weight = 0.05;
 constexpr double output_weight = 0.03;
 
-/// Prefill work below this says more about the step than about the speed.
-constexpr double min_prefill_sample = 400;
+/// Smallest prefill work that is sampled. The time for less work depends more
+/// on the step time than on the prefill rate.
+constexpr double min_prefill_sample_tokens = 400;
 
-/// Own load is kept for reports up to this age.
+/// History of the local load that is kept to match reports of up to this age.
 constexpr duration max_report_age = seconds(10);
 
 void learn_slowness(world &w, engine_index index, double ratio)
 {
     auto &costs = w.costs.engine(index);
     auto const clipped =
-        std::clamp(ratio, 1 / slowness_factor, slowness_factor);
+        std::clamp(ratio, 1 / max_slowness_ratio, max_slowness_ratio);
     auto const mean = std::log(costs.slowness) * (1 - slowness_weight) +
                       std::log(clipped) * slowness_weight;
     costs.slowness = std::exp(mean);
@@ -45,15 +47,16 @@
     costs.last_sample_at = w.now;
 }
 
-/// Fits the line through the weighted samples. Neither part may be negative: a
-/// batch that hardly varies leaves the slope to noise.
+/// Fits step time against batch size by weighted least squares. Neither slope
+/// nor base may become negative: while the batch size hardly varies, the slope
+/// is mostly noise.
 void fit_step(role_costs &role)
 {
     auto const variance = role.mean_nn - role.mean_n * role.mean_n;
     auto const covariance = role.mean_n_step - role.mean_n * role.mean_step;
-    auto const highest = role.mean_step / std::max(1.0, role.mean_n);
+    auto const max_slope = role.mean_step / std::max(1.0, role.mean_n);
     role.step_slope =
-        std::clamp(covariance / std::max(1.0, variance), 0.0, highest);
+        std::clamp(covariance / std::max(1.0, variance), 0.0, max_slope);
     role.step_base = role.mean_step - role.step_slope * role.mean_n;
 }
 
@@ -90,8 +93,8 @@
     attempt.sample_begun_at = w.now;
 }
 
-void learn_hits(world &w, attempt_state const &attempt,
-                engine_event const &event)
+void learn_cache_hits(world &w, attempt_state const &attempt,
+                      engine_event const &event)
 {
     auto const *request = w.requests.find(attempt.request);
     auto const prompt = request->arrival.prompt_tokens;
@@ -104,19 +107,19 @@
     }
 }
 
-/// Learns from the end of a prompt's computation.
+/// Updates the prefill rate at the end of a prompt's computation.
 void sample_prefill(world &w, attempt_state const &attempt,
                     engine_event const &event)
 {
     auto const &engine = w.engines.at(*attempt.engine);
     auto &role = w.costs.role(engine.definition.service, engine.role());
     auto const *request = w.requests.find(attempt.request);
-    learn_hits(w, attempt, event);
-    auto const own = request->arrival.prompt_tokens - event.cached_tokens;
-    auto const work = attempt.backlog_tokens + std::max(0, own);
+    learn_cache_hits(w, attempt, event);
+    auto const uncached = request->arrival.prompt_tokens - event.cached_tokens;
+    auto const work = attempt.backlog_tokens + std::max(0, uncached);
     auto const elapsed = to_seconds(w.now - attempt.started_at);
-    if (attempt.counted_prefill_tokens == 0 || work < min_prefill_sample ||
-        elapsed <= role.step_base)
+    if (attempt.counted_prefill_tokens == 0 ||
+        work < min_prefill_sample_tokens || elapsed <= role.step_base)
     {
         return;
     }
@@ -170,21 +173,21 @@
     }
 }
 
-/// The batch limit follows the batches of engines that have a queue, and is
-/// probed upwards while full batches leave none.
+/// The batch limit follows the batch sizes of engines that have a queue. It is
+/// raised in small steps while engines run full batches without a queue.
 void learn_batch(role_costs &role, load_report const &report)
 {
     constexpr double weight = 0.05;
-    constexpr double probe = 0.1;
-    constexpr int queue = 2;
-    if (report.waiting > queue && report.running > 0)
+    constexpr double increment = 0.1;
+    constexpr int max_idle_queue = 2;
+    if (report.waiting > max_idle_queue && report.running > 0)
     {
         role.batch_limit += weight * (report.running - role.batch_limit);
     }
     else if (report.running >= role.batch_limit - 1)
     {
         role.batch_limit =
-            std::max<double>(report.running, role.batch_limit + probe);
+            std::max<double>(report.running, role.batch_limit + increment);
     }
 }
 
@@ -198,7 +201,7 @@
     auto const &engine = w.engines.at(*index);
     auto &history = w.costs.engine(*index).history;
     history.push_back({w.now, engine.own_requests, engine.own_prefill_tokens,
-                       engine.own_kv_tokens});
+                       engine.local_kv_tokens});
     while (history.front().at + max_report_age < w.now)
     {
         history.pop_front();
@@ -210,7 +213,7 @@
     learn_batch(w.costs.role(engine.definition.service, report.role), report);
 }
 
-void learn_others(world &w, load_report const &report)
+void learn_peer_load(world &w, load_report const &report)
 {
     constexpr double weight = 0.02;
     auto const index = w.engines.find(report.engine);
@@ -220,10 +223,11 @@
     }
     auto const &engine = w.engines.at(*index);
     auto &role = w.costs.role(engine.definition.service, engine.role());
-    auto const others = reported_others(w, *index);
-    role.others_requests += weight * (others.requests - role.others_requests);
-    role.others_prefill_tokens +=
-        weight * (others.prefill_tokens - role.others_prefill_tokens);
+    auto const peer_load = reported_peer_load(w, *index);
+    role.mean_peer_requests +=
+        weight * (peer_load.requests - role.mean_peer_requests);
+    role.mean_peer_prefill_tokens +=
+        weight * (peer_load.prefill_tokens - role.mean_peer_prefill_tokens);
 }
 
 } // namespace
@@ -233,7 +237,7 @@
     for (auto const &report : w.in.load_reports)
     {
         learn_from_report(w, report);
-        learn_others(w, report);
+        learn_peer_load(w, report);
     }
     std::ranges::for_each(w.in.engine_events, [&w](engine_event const &event)
                           { learn_from_event(w, event); });
--- a/src/learn_costs.hpp
+++ b/src/learn_costs.hpp
@@ -7,8 +7,8 @@
 struct world;
 
 /// Learns prefill speeds, step times, batch sizes, prefix hits and output
-/// lengths from the tick's engine events and load reports. Runs before the
-/// events end their attempts.
+/// lengths from the tick's engine events and load reports. Must run while the
+/// attempts of these events are still open.
 void learn_costs(world &w);
 
 } // namespace agateledge
--- a/src/predict_engine.hpp
+++ b/src/predict_engine.hpp
@@ -14,9 +14,9 @@
 {
     double first_token = 0;
     double finish = 0;
-    /// False when the engine is as full as it should be; the request then waits
-    /// in the daemon, where the order of priority still decides.
-    bool room = false;
+    /// False when the engine should get no more work. The request then waits in
+    /// the daemon's queue, where priorities still apply.
+    bool has_capacity = false;
 };
 
 /// Predicts a request's course on an engine from the learned costs.
@@ -26,7 +26,7 @@
                                  engine_index engine, double cached_tokens);
 
 /// @return seconds to the first token on an idle engine of the service
-double best_first_token(world const &w, request_state const &request);
+double idle_first_token_seconds(world const &w, request_state const &request);
 
 } // namespace agateledge
 
--- a/src/prefix_view.cpp
+++ b/src/prefix_view.cpp
@@ -5,18 +5,18 @@
 namespace agateledge
 {
 
-void prefix_view::record(engine_index engine, cache_event const &event)
+void prefix_view::apply(engine_index engine, cache_event const &event)
 {
-    auto &feed = feeds_[engine];
-    if (event.sequence <= feed.sequence)
+    auto &stream = streams_[engine];
+    if (event.sequence <= stream.sequence)
     {
         return;
     }
-    if (event.sequence != feed.sequence + 1)
+    if (event.sequence != stream.sequence + 1)
     {
-        ++feed.epoch;
+        ++stream.epoch;
     }
-    feed.sequence = event.sequence;
+    stream.sequence = event.sequence;
     if (event.stored)
     {
         store(engine, event.prefix_hash);
@@ -27,8 +27,8 @@
     }
 }
 
-void prefix_view::expect(engine_index engine,
-                         std::vector<std::uint64_t> const &hashes)
+void prefix_view::add_expected(engine_index engine,
+                               std::vector<std::uint64_t> const &hashes)
 {
     std::ranges::for_each(hashes, [this, engine](std::uint64_t hash)
                           { store(engine, hash); });
@@ -37,16 +37,17 @@
 std::vector<prefix_view::match>
 prefix_view::longest(std::vector<std::uint64_t> const &hashes) const
 {
-    // A cache that holds a block holds those before it, so that the depth to
-    // which some engine knows the prompt is found by bisection.
-    auto const end = std::ranges::partition_point(
-        hashes, [this](std::uint64_t hash) { return holders_.contains(hash); });
+    // A cache that holds a block holds all blocks before it, so the longest
+    // known prefix can be found by bisection.
+    auto const end =
+        std::ranges::partition_point(hashes, [this](std::uint64_t hash)
+                                     { return prefixes_.contains(hash); });
     std::vector<match> out;
     if (end == hashes.begin())
     {
         return out;
     }
-    auto const &found = holders_.at(*std::prev(end));
+    auto const &found = prefixes_.at(*std::prev(end));
     auto const blocks = static_cast<int>(end - hashes.begin());
     for (std::size_t i = 0; i < found.count; ++i)
     {
@@ -59,13 +60,13 @@
 
 std::uint32_t prefix_view::epoch_of(engine_index engine) const
 {
-    auto const found = feeds_.find(engine);
-    return found == feeds_.end() ? 0 : found->second.epoch;
+    auto const found = streams_.find(engine);
+    return found == streams_.end() ? 0 : found->second.epoch;
 }
 
 void prefix_view::store(engine_index engine, std::uint64_t hash)
 {
-    auto const [place, added] = holders_.try_emplace(hash);
+    auto const [place, added] = prefixes_.try_emplace(hash);
     if (added)
     {
         order_.push_back(hash);
@@ -86,15 +87,15 @@
     entry.count = std::min(entry.count + 1, max_holders);
     while (order_.size() > max_prefixes)
     {
-        holders_.erase(order_.front());
+        prefixes_.erase(order_.front());
         order_.pop_front();
     }
 }
 
 void prefix_view::drop(engine_index engine, std::uint64_t hash)
 {
-    auto const found = holders_.find(hash);
-    if (found == holders_.end())
+    auto const found = prefixes_.find(hash);
+    if (found == prefixes_.end())
     {
         return;
     }
@@ -111,7 +112,7 @@
     }
     if (entry.count == 0)
     {
-        holders_.erase(found);
+        prefixes_.erase(found);
     }
 }
 
--- a/src/prefix_view.hpp
+++ b/src/prefix_view.hpp
@@ -13,14 +13,14 @@
 namespace agateledge
 {
 
-/// Which engines hold which prompt prefixes, from late and gappy cache events
-/// and from the own calls. Keeps at most `max_prefixes` prefixes and forgets
-/// the oldest first.
+/// Tracks which engines hold which prompt prefixes, from this daemon's own
+/// calls and from cache events, which may arrive late or be lost. Keeps at most
+/// `max_prefixes` prefixes and evicts the oldest first.
 class prefix_view
 {
 public:
     static constexpr std::size_t max_prefixes = 65536;
-    /// Engines remembered for one prefix.
+    /// Engines stored per prefix.
     static constexpr std::size_t max_holders = 4;
 
     struct match
@@ -28,21 +28,24 @@
         engine_index engine;
         /// Leading blocks that the engine is expected to hold.
         int blocks = 0;
-        /// False when an event of the engine was lost since.
+        /// False when an event of the engine was lost since the prefix was
+        /// stored.
         bool certain = true;
     };
 
-    /// Takes note of a cache event; a gap in the sequence makes what is known
+    /// Applies a cache event. Events that are not newer than the last one of
+    /// the engine are ignored; a gap in the sequence makes all earlier entries
     /// of the engine uncertain.
-    void record(engine_index engine, cache_event const &event);
+    void apply(engine_index engine, cache_event const &event);
 
-    /// Takes note of prefixes that an engine will hold.
-    void expect(engine_index engine, std::vector<std::uint64_t> const &hashes);
+    /// Stores the prefixes that an engine will hold once it has run a prompt.
+    void add_expected(engine_index engine,
+                      std::vector<std::uint64_t> const &hashes);
 
     /// @return the engines with the longest known prefix of `hashes`
     std::vector<match> longest(std::vector<std::uint64_t> const &hashes) const;
 
-    std::size_t size() const { return holders_.size(); }
+    std::size_t size() const { return prefixes_.size(); }
 
 private:
     struct holder
@@ -55,12 +58,15 @@
     {
         std::array<holder, max_holders> holders;
         std::size_t count = 0;
+        /// Position at which the next holder is stored.
         std::size_t next = 0;
     };
 
-    struct feed
+    /// State of an engine's cache events.
+    struct event_stream
     {
         std::uint64_t sequence = 0;
+        /// Number of gaps so far; entries of an earlier epoch are uncertain.
         std::uint32_t epoch = 0;
     };
 
@@ -68,9 +74,10 @@
     void drop(engine_index engine, std::uint64_t hash);
     std::uint32_t epoch_of(engine_index engine) const;
 
-    std::unordered_map<std::uint64_t, prefix> holders_;
+    std::unordered_map<std::uint64_t, prefix> prefixes_;
+    /// Hashes of the prefixes, oldest first.
     std::deque<std::uint64_t> order_;
-    std::unordered_map<engine_index, feed> feeds_;
+    std::unordered_map<engine_index, event_stream> streams_;
 };
 
 } // namespace agateledge
--- a/src/request_lifecycle.cpp
+++ b/src/request_lifecycle.cpp
@@ -21,12 +21,12 @@
     auto &engine = w.engines.at(*attempt.engine);
     engine.own_requests += sign;
     engine.own_prefill_tokens += sign * attempt.counted_prefill_tokens;
-    engine.own_kv_tokens += sign * attempt.counted_kv_tokens;
+    engine.local_kv_tokens += sign * attempt.counted_kv_tokens;
     internal_assert(engine.own_requests >= 0, "engine ", engine.definition.name,
                     " has ", engine.own_requests, " open requests");
 }
 
-bool in_time(world const &w, request_state const &request)
+bool met_deadlines(world const &w, request_state const &request)
 {
     auto const &kind = request.kind;
     auto const elapsed = w.now - request.arrived_at;
@@ -51,8 +51,8 @@
     attempt.started_at = w.now;
     attempt.last_progress_at = w.now;
     attempt.next_offset = request.delivered_tokens;
-    auto &place = request.attempt ? request.hedge : request.attempt;
-    place = attempt.attempt;
+    auto &slot = request.attempt ? request.hedge : request.attempt;
+    slot = attempt.attempt;
     request.phase = request_phase::running;
     ++request.attempts;
     return attempt;
@@ -93,8 +93,8 @@
 {
     auto attempt = new_attempt(w, request);
     attempt.engine = engine;
-    // An engine can continue only an answer whose text is known; otherwise it
-    // generates the answer again and the delivered part is dropped.
+    // An engine can continue only an answer whose full text is known. Otherwise
+    // it generates the answer again, and the part already delivered is dropped.
     if (request.text_offset > 0)
     {
         attempt.next_offset = 0;
@@ -185,12 +185,14 @@
                     std::string message)
 {
     auto *request = w.requests.find(number);
-    internal_assert(request != nullptr, "refusal of ended request ",
+    internal_assert(request != nullptr, "refuse_request: no open request ",
                     number.value());
-    internal_assert(!states_not_run(code) || !may_have_run(w, number) ||
-                        w.faults.refuse_after_send,
-                    "request ", number.value(),
-                    " was sent and is refused as not run: ", name_of(code));
+    internal_assert(
+        !states_not_run(code) || !may_have_run(w, number) ||
+            w.faults.refuse_after_send,
+        "request ", number.value(),
+        " may have run but is refused with a code that states the contrary: ",
+        name_of(code));
     end_attempts(w, *request);
     settle_unanswered(w, number);
     count_refusal(w, *request, code);
@@ -203,12 +205,12 @@
 void finish_request(world &w, request_number number)
 {
     auto *request = w.requests.find(number);
-    internal_assert(request != nullptr, "end of ended request ",
+    internal_assert(request != nullptr, "finish_request: no open request ",
                     number.value());
     end_attempts(w, *request);
     ++w.totals.answered;
     record_step(w, number, decision_kind::finished, result_code::ok);
-    w.totals.answered_in_time += in_time(w, *request) ? 1 : 0;
+    w.totals.answered_in_time += met_deadlines(w, *request) ? 1 : 0;
     w.requests.erase(number);
 }
 
--- a/src/request_lifecycle.hpp
+++ b/src/request_lifecycle.hpp
@@ -31,15 +31,15 @@
                                       engine_index engine,
                                       resume_point const &stream);
 
-/// Begins an attempt of `request` on an endpoint of a plain service. A second
-/// one beside a running attempt is a hedge.
+/// Begins an attempt of `request` on an endpoint of a plain service. If another
+/// attempt of the request is running, the new one is its hedge.
 ///
 /// @return the stored attempt
 attempt_state &begin_service_attempt(world &w, request_state &request,
                                      endpoint_index endpoint);
 
-/// Ends an attempt and takes its load off its engine or endpoint. Later events
-/// of the attempt are dropped.
+/// Ends an attempt and subtracts its load from its engine or endpoint. Later
+/// events of the attempt are dropped.
 void end_attempt(world &w, attempt_number attempt);
 
 /// Ends all attempts of a request.
@@ -48,14 +48,15 @@
 /// Asks the engine of an attempt to stop its stream, and ends the attempt.
 void cancel_attempt(world &w, attempt_state const &attempt);
 
-/// Ends a request without an answer and tells the caller why.
+/// Ends a request without an answer and sends the caller the reason.
 void refuse_request(world &w, request_number request, result_code code,
                     std::string message);
 
 /// Ends a request whose answer is complete, and counts it.
 void finish_request(world &w, request_number request);
 
-/// Puts a request back in the waiting queue after its attempt ended.
+/// Puts a request back at the head of the waiting requests after its attempt
+/// ended.
 void requeue_request(world &w, request_state &request);
 
 } // namespace agateledge
--- a/src/request_table.hpp
+++ b/src/request_table.hpp
@@ -34,11 +34,11 @@
     request_phase phase = request_phase::waiting;
     instant arrived_at{};
     std::optional<instant> first_token_at;
-    /// True once the caller has been told the request's id.
+    /// True once the caller has been sent the request's id.
     bool accepted = false;
-    /// True once the caller has left; the outcome is still recorded.
+    /// True once the caller has disconnected; the outcome is still recorded.
     bool caller_left = false;
-    /// Answer so far, delivered to the caller.
+    /// Tokens and text of the answer that were delivered to the caller.
     int delivered_tokens = 0;
     std::string delivered_text;
     /// Offset of the first token in `delivered_text`; above 0 after a resume,
@@ -48,16 +48,16 @@
     /// Second attempt of a hedged call.
     std::optional<attempt_number> hedge;
     int attempts = 0;
-    /// Engine that holds the prompt's KV cache, and the stream key there; empty
-    /// until a prefill engine has computed it.
+    /// Address of the engine that holds the prompt's KV cache, and the key of
+    /// the stream there; empty until a prefill engine has computed the prompt.
     std::string kv_address;
     std::string kv_key;
     /// Earliest time of the next attempt.
     instant not_before{};
-    /// True when the next attempt repeats work and needs the retry budget.
+    /// True when the next attempt repeats work and uses the retry budget.
     bool needs_retry = false;
     /// Time at which the request began to wait for the retry budget.
-    std::optional<instant> starved_since;
+    std::optional<instant> budget_wait_since;
     /// Stream that the next attempt attaches to in place of starting one.
     std::optional<resume_point> reattach;
     /// Target of the last failed attempt, avoided while there is another.
--- a/src/retry_requests.cpp
+++ b/src/retry_requests.cpp
@@ -15,24 +15,25 @@
 
 /// Time without a token after which a stream counts as lost. An engine at a
 /// tenth of its speed needs up to 0.8 s for one step.
-constexpr duration token_bound = seconds(5);
+constexpr duration token_timeout = seconds(5);
 
 /// Time without a first token after which an attempt counts as lost; covers the
 /// queue and a long prompt at a busy engine.
-constexpr duration first_token_bound = seconds(30);
+constexpr duration first_token_timeout = seconds(30);
 
-constexpr duration first_delay = milliseconds(20);
+/// Back-off before the first retry; doubles with each further attempt.
+constexpr duration first_retry_delay = milliseconds(20);
 constexpr duration drain_check_interval = seconds(1);
-constexpr duration starved_poll_interval = milliseconds(100);
+constexpr duration budget_poll_interval = milliseconds(100);
 
-/// Time that a request waits for the retry budget before it is given up.
-constexpr duration starved_bound = seconds(30);
+/// Time that a request waits for the retry budget before it is refused.
+constexpr duration budget_wait_timeout = seconds(30);
 
-duration delay_before(request_state const &request)
+duration retry_delay(request_state const &request)
 {
-    constexpr int most_doublings = 5;
-    return first_delay *
-           (1 << std::clamp(request.attempts - 1, 0, most_doublings));
+    constexpr int max_doublings = 5;
+    return first_retry_delay *
+           (1 << std::clamp(request.attempts - 1, 0, max_doublings));
 }
 
 void plan_engine_retry(world &w, request_state &request,
@@ -54,8 +55,8 @@
     }
     request.reattach.reset();
     request.avoid_engine = *attempt.engine;
-    // A resume that finds its stream gone counts as a first attempt, like any
-    // other arrival.
+    // A resumed request whose stream no longer exists starts over like a new
+    // arrival and does not use the retry budget.
     bool const failed_resume = attempt.attached && request.attempts == 1;
     request.needs_retry |= interrupted || (attempt.attached && !failed_resume);
 }
@@ -69,18 +70,19 @@
     }
     auto const due =
         attempt->last_progress_at +
-        (attempt->first_token_at ? token_bound : first_token_bound);
+        (attempt->first_token_at ? token_timeout : first_token_timeout);
     if (w.now < due)
     {
-        // The first token may arrive meanwhile and bring the bound closer.
-        w.attempts.checks.add(std::min(due, w.now + token_bound), number);
+        // The shorter token time-out applies once the first token arrives.
+        w.attempts.progress_checks.add(std::min(due, w.now + token_timeout),
+                                       number);
         return;
     }
     auto &request = *w.requests.find(attempt->request);
     lose_attempt(w, request, number, attempt_loss::interrupted);
 }
 
-/// Moves an attempt to another engine, if there is one.
+/// Moves an attempt to another engine, if one can accept it.
 void move_attempt(world &w, attempt_number number)
 {
     auto const *attempt = w.attempts.find(number);
@@ -109,21 +111,21 @@
                           { move_attempt(w, number); });
 }
 
-void empty_engine(world &w, engine_index index)
+void check_drain(world &w, engine_index index)
 {
     auto &engine = w.engines.at(index);
-    if (!engine.must_empty())
+    if (!engine.must_drain())
     {
-        engine.emptying_since.reset();
+        engine.draining_since.reset();
         return;
     }
-    if (!engine.emptying_since)
+    if (!engine.draining_since)
     {
-        engine.emptying_since = w.now;
+        engine.draining_since = w.now;
     }
     wake_at(w, w.next_drain_check);
     if (engine.own_requests > 0 &&
-        w.now - *engine.emptying_since >= w.config.policy.drain_timeout)
+        w.now - *engine.draining_since >= w.config.policy.drain_timeout)
     {
         move_attempts(w, index);
     }
@@ -150,14 +152,14 @@
         request.needs_retry |= loss == attempt_loss::interrupted;
     }
     ++w.totals.retries;
-    request.not_before = w.now + delay_before(request);
+    request.not_before = w.now + retry_delay(request);
     requeue_request(w, request);
 }
 
 void plan_progress_check(world &w, attempt_number attempt)
 {
-    auto const when = w.now + token_bound;
-    w.attempts.checks.add(when, attempt);
+    auto const when = w.now + token_timeout;
+    w.attempts.progress_checks.add(when, attempt);
     wake_at(w, when);
 }
 
@@ -171,30 +173,30 @@
     if (!request.needs_retry || request.reattach || w.retries.spend(w.now))
     {
         request.needs_retry &= request.reattach.has_value();
-        request.starved_since.reset();
+        request.budget_wait_since.reset();
         return true;
     }
-    if (!request.starved_since)
+    if (!request.budget_wait_since)
     {
-        request.starved_since = w.now;
+        request.budget_wait_since = w.now;
     }
-    if (w.now - *request.starved_since < starved_bound)
+    if (w.now - *request.budget_wait_since < budget_wait_timeout)
     {
-        request.not_before = w.now + starved_poll_interval;
+        request.not_before = w.now + budget_poll_interval;
         return false;
     }
     refuse_request(w, request.arrival.request, result_code::retries_exhausted,
-                   "the retry budget is spent");
+                   "the retry budget did not allow another attempt in time");
     return false;
 }
 
 void retry_requests(world &w)
 {
-    while (auto const number = w.attempts.checks.take(w.now))
+    while (auto const number = w.attempts.progress_checks.take(w.now))
     {
         check_progress(w, *number);
     }
-    if (auto const next = w.attempts.checks.next())
+    if (auto const next = w.attempts.progress_checks.next())
     {
         wake_at(w, *next);
     }
@@ -205,7 +207,7 @@
     w.next_drain_check = w.now + drain_check_interval;
     for (std::uint32_t i = 0; i < w.engines.all().size(); ++i)
     {
-        empty_engine(w, engine_index(i));
+        check_drain(w, engine_index(i));
     }
 }
 
--- a/src/retry_requests.hpp
+++ b/src/retry_requests.hpp
@@ -20,22 +20,25 @@
     interrupted,
 };
 
-/// Ends a lost attempt and queues its request for the next one: first the
-/// stream is attached to again, then the answer is continued on another engine
-/// from the delivered tokens.
+/// Ends a lost attempt and queues its request for the next one. An interrupted
+/// stream is attached to again first; if that fails, another engine continues
+/// the answer after the delivered tokens.
 void lose_attempt(world &w, request_state &request, attempt_number attempt,
                   attempt_loss loss);
 
-/// Plans the first look at the progress of an attempt on an engine.
+/// Schedules the first progress check of an attempt on an engine.
 void plan_progress_check(world &w, attempt_number attempt);
 
-/// @return true when the next attempt of the request may start now; one that
-///         repeats work is paid for out of the retry budget
+/// Reserves the next attempt of a request. One that repeats work is deducted
+/// from the retry budget; when the budget stays empty for too long, the request
+/// is refused.
+///
+/// @return true when the attempt may start now
 bool may_start_attempt(world &w, request_state &request);
 
-/// Treats attempts without progress as lost, and moves what is left on an
-/// engine that has been emptying for the drain time-out while another engine
-/// can continue it.
+/// Treats attempts without progress as lost. Moves the attempts that are still
+/// open on an engine after the drain time-out, if another engine can continue
+/// them.
 void retry_requests(world &w);
 
 } // namespace agateledge
--- a/src/select_engine.cpp
+++ b/src/select_engine.cpp
@@ -12,19 +12,20 @@
 namespace
 {
 
-/// Engines of one role that are compared for a request. All of a small fleet
-/// are compared; a sample of this size bounds the cost in a large one and keeps
-/// daemons with the same reports from choosing the same engine.
-constexpr std::size_t sample_size = 12;
+/// Maximum number of engines per role that are compared for a request. A larger
+/// fleet is sampled at random, which bounds the cost and keeps daemons that
+/// hold the same reports from all choosing the same engine.
+constexpr std::size_t max_sample_size = 12;
 
-/// A prompt up to this length is not worth a transfer between engines.
-constexpr int short_prompt_tokens = 96;
+/// Longest prompt that a decode engine computes itself; for shorter prompts a
+/// KV cache transfer from a prefill engine is not worthwhile.
+constexpr int max_decode_prompt_tokens = 96;
 
-/// Weight of the time after the first token in the comparison of engines.
+/// Weight of the predicted time after the first token in an engine's cost.
 constexpr double finish_weight = 0.1;
 
-/// Share of an uncertain prefix match that is counted.
-constexpr double uncertain_share = 0.5;
+/// Fraction of an uncertain prefix match that is counted as cached.
+constexpr double uncertain_match_share = 0.5;
 
 struct candidate
 {
@@ -39,7 +40,7 @@
     double cost = 0;
 };
 
-bool fits(engine_state const &engine, request_state const &request)
+bool can_serve(engine_state const &engine, request_state const &request)
 {
     if (!engine.takes_work() ||
         engine.definition.service != request.kind.service)
@@ -51,13 +52,13 @@
         return engine.role() != engine_role::prefill;
     }
     return engine.role() != engine_role::decode ||
-           request.arrival.prompt_tokens <= short_prompt_tokens;
+           request.arrival.prompt_tokens <= max_decode_prompt_tokens;
 }
 
-void sample(world &w, candidate_index::engines const &from,
-            std::vector<candidate> &out)
+void add_sample(world &w, candidate_index::engines const &from,
+                std::vector<candidate> &out)
 {
-    if (from.size() <= sample_size)
+    if (from.size() <= max_sample_size)
     {
         std::ranges::transform(from, std::back_inserter(out),
                                [](engine_index index) {
@@ -65,7 +66,7 @@
                                });
         return;
     }
-    for (std::size_t i = 0; i < sample_size; ++i)
+    for (std::size_t i = 0; i < max_sample_size; ++i)
     {
         out.push_back({from[w.random.below(from.size())], 0});
     }
@@ -78,7 +79,7 @@
     for (auto const &match : w.prefixes.longest(arrival.prefix_hashes))
     {
         auto const tokens = match.blocks * arrival.prefix_block_tokens *
-                            (match.certain ? 1.0 : uncertain_share);
+                            (match.certain ? 1.0 : uncertain_match_share);
         out.push_back({match.engine, tokens});
     }
 }
@@ -91,14 +92,16 @@
     {
         add_prefix_holders(w, request, out);
     }
-    sample(w, w.candidates.of(service, engine_role::mixed), out);
-    sample(w, w.candidates.of(service, engine_role::decode), out);
-    sample(w, w.candidates.of(service, engine_role::prefill), out);
+    add_sample(w, w.candidates.of(service, engine_role::mixed), out);
+    add_sample(w, w.candidates.of(service, engine_role::decode), out);
+    add_sample(w, w.candidates.of(service, engine_role::prefill), out);
     return out;
 }
 
-/// Used when the fleet has no engine of the role that the phase needs.
-std::vector<candidate> any_engine(world const &w, request_state const &request)
+/// Fallback when no engine with a role that suits the request's phase takes
+/// work.
+std::vector<candidate> engines_of_any_role(world const &w,
+                                           request_state const &request)
 {
     std::vector<candidate> out;
     for (std::uint32_t i = 0; i < w.engines.all().size(); ++i)
@@ -116,28 +119,28 @@
 double cost_of(request_state const &request, engine_prediction const &predicted)
 {
     auto const first = predicted.first_token;
-    auto const bound = to_seconds(request.kind.first_token_deadline);
-    auto const late = bound > 0 ? std::max(0.0, first - bound) : 0.0;
-    return first + late + finish_weight * (predicted.finish - first);
+    auto const deadline = to_seconds(request.kind.first_token_deadline);
+    auto const lateness = deadline > 0 ? std::max(0.0, first - deadline) : 0.0;
+    return first + lateness + finish_weight * (predicted.finish - first);
 }
 
-void compare(world const &w, request_state const &request,
-             candidate const &offered, choice &best)
+void update_choice(world const &w, request_state const &request,
+                   candidate const &option, choice &best)
 {
-    if (!circuit_allows(w, request, offered.engine))
+    if (!circuit_allows(w, request, option.engine))
     {
         return;
     }
     auto const predicted =
-        predict_engine(w, request, offered.engine, offered.cached_tokens);
-    if (!predicted.room)
+        predict_engine(w, request, option.engine, option.cached_tokens);
+    if (!predicted.has_capacity)
     {
         return;
     }
     auto const cost = cost_of(request, predicted);
     if (!best.engine || cost < best.cost)
     {
-        best = {offered.engine, predicted, cost};
+        best = {option.engine, predicted, cost};
     }
 }
 
@@ -151,26 +154,26 @@
         return w.hooks.select(w, request);
     }
     choice best;
-    bool any = false;
-    for (auto const &offered : candidates_of(w, request))
+    bool any_suitable = false;
+    for (auto const &option : candidates_of(w, request))
     {
-        if (offered.engine != request.avoid_engine &&
-            fits(w.engines.at(offered.engine), request))
+        if (option.engine != request.avoid_engine &&
+            can_serve(w.engines.at(option.engine), request))
         {
-            any = true;
-            compare(w, request, offered, best);
+            any_suitable = true;
+            update_choice(w, request, option, best);
         }
     }
-    if (!any)
+    if (!any_suitable)
     {
-        for (auto const &offered : any_engine(w, request))
+        for (auto const &option : engines_of_any_role(w, request))
         {
-            compare(w, request, offered, best);
+            update_choice(w, request, option, best);
         }
     }
     if (best.engine && request.kv_key.empty())
     {
-        w.prefixes.expect(*best.engine, request.arrival.prefix_hashes);
+        w.prefixes.add_expected(*best.engine, request.arrival.prefix_hashes);
     }
     return best.engine;
 }
--- a/src/select_engine.hpp
+++ b/src/select_engine.hpp
@@ -13,7 +13,8 @@
 
 /// Chooses the engine for the next attempt of a model request.
 ///
-/// @return the engine, or nothing when none of the service takes work
+/// @return the engine, or nothing when no engine of the service can accept the
+///         request now
 std::optional<engine_index> select_engine(world &w,
                                           request_state const &request);
 
--- a/src/track_engines.cpp
+++ b/src/track_engines.cpp
@@ -42,10 +42,10 @@
     {
         if (auto const index = w.engines.find(event.engine))
         {
-            w.prefixes.record(*index, event);
+            w.prefixes.apply(*index, event);
         }
     }
-    if (w.candidates.due(w.now, w.config.revision))
+    if (w.candidates.rebuild_due(w.now, w.config.revision))
     {
         w.candidates.rebuild(w.engines, w.now, w.config.revision);
     }
--- a/src/track_engines.hpp
+++ b/src/track_engines.hpp
@@ -6,8 +6,9 @@
 
 struct world;
 
-/// Stores this tick's load reports with the time at which they were true. A
-/// report that is older than the stored one is dropped.
+/// Stores this tick's load reports with the time of their measurement; a report
+/// that is older than the stored one is dropped. Applies the tick's cache
+/// events and rebuilds the candidate index when that is due.
 void track_engines(world &w);
 
 } // namespace agateledge
--- a/test/correctness/select_engine_test.cpp
+++ b/test/correctness/select_engine_test.cpp
@@ -1,5 +1,5 @@
-// Guards against engines chosen by an old report, against a prompt sent to an
-// engine of the wrong role, and against overfilled engines.
+// Guards against choosing an engine by an outdated report, against sending a
+// prompt to an engine of the wrong role, and against overloading engines.
 #include "policy_world.hpp"
 #include "select_engine.hpp"
 #include "track_engines.hpp"
@@ -23,7 +23,8 @@
 TEST(select_engine, does_not_take_an_old_idle_report_for_an_idle_engine)
 {
     auto w = make_policy_world({engine_role::mixed, engine_role::mixed});
-    w.costs.role("assistant", engine_role::mixed).others_prefill_tokens = 1500;
+    w.costs.role("assistant", engine_role::mixed).mean_peer_prefill_tokens =
+        1500;
     w.in.load_reports = {
         make_report("engine-0", engine_role::mixed, 0, 0, seconds(20)),
         make_report("engine-1", engine_role::mixed, 2, 200, milliseconds(100))};
@@ -51,7 +52,7 @@
     {
         request.arrival.prefix_hashes.push_back(i * 7919);
     }
-    w.prefixes.expect(engine_index(2), request.arrival.prefix_hashes);
+    w.prefixes.add_expected(engine_index(2), request.arrival.prefix_hashes);
     EXPECT_EQ(select_engine(w, request), engine_index(2));
 }
 
@@ -60,7 +61,7 @@
     prefix_view view;
     for (std::uint64_t i = 0; i < 2 * prefix_view::max_prefixes; ++i)
     {
-        view.record(engine_index(0), {"engine-0", i + 1, i, true});
+        view.apply(engine_index(0), {"engine-0", i + 1, i, true});
     }
     EXPECT_LE(view.size(), prefix_view::max_prefixes);
 }
