--- a/src/claim_calls.cpp
+++ b/src/claim_calls.cpp
@@ -17,25 +17,23 @@
 
 constexpr char const *outcome_method = "OUTCOME";
 
-/// Time that a caller of a class without a finish deadline waits.
-constexpr duration default_deadline = seconds(10);
+/// Time that a call waits for its claim if its class has no finish deadline.
+constexpr duration default_finish_deadline = seconds(10);
 
-/// Bounds of the time between two tries of the same step.
-constexpr duration shortest_backoff = milliseconds(25);
-constexpr duration longest_backoff = seconds(2);
+/// Bounds of the back-off between two attempts at the same step.
+constexpr duration min_backoff = milliseconds(25);
+constexpr duration max_backoff = seconds(2);
 
-/// Inserts that the table service may turn away before the call is refused; the
-/// last one is about 175 ms after the first.
-constexpr int insert_tries = 4;
+/// Failed inserts after which the call is refused; the back-off between the
+/// first and the last adds up to about 175 ms.
+constexpr int max_insert_attempts = 4;
 
 duration backoff(world &w, int failures)
 {
-    constexpr int most_doublings = 7;
-    auto const doubled =
-        shortest_backoff * (1 << std::min(failures, most_doublings));
+    constexpr int max_doublings = 7;
+    auto const doubled = min_backoff * (1 << std::min(failures, max_doublings));
     auto const jitter = 0.5 + w.random.uniform() / 2;
-    return from_seconds(to_seconds(std::min(doubled, longest_backoff)) *
-                        jitter);
+    return from_seconds(to_seconds(std::min(doubled, max_backoff)) * jitter);
 }
 
 std::string attempt_id_of(world const &w, request_number request)
@@ -45,8 +43,9 @@
            std::to_string(request.value());
 }
 
-/// @return true when the daemon that wrote `attempt` is known to have ended
-bool holder_is_dead(world const &w, std::string const &attempt)
+/// @return true when the daemon that wrote `attempt` is known to have a newer
+///         incarnation
+bool holder_has_ended(world const &w, std::string const &attempt)
 {
     auto const last = attempt.rfind(':');
     auto const middle = last == std::string::npos || last == 0
@@ -68,7 +67,7 @@
     return incarnation < known.value();
 }
 
-table_call call_of(claim_state const &claim)
+table_call table_call_of(claim_state const &claim)
 {
     table_call call;
     auto const write = [&](claim_row const &row)
@@ -97,22 +96,23 @@
     return call;
 }
 
-/// Sends the operation of the claim's step.
-void issue(world &w, claim_state &claim, claim_step step)
+/// Enters `step` and sends its operation to the table service.
+void send_operation(world &w, claim_state &claim, claim_step step)
 {
     claim.step = step;
-    w.claims.wait_for(claim, call_table(w, table_owner::claim, call_of(claim)));
+    w.claims.wait_for(claim,
+                      call_table(w, table_owner::claim, table_call_of(claim)));
 }
 
-/// Sends the operation of the claim's step after a delay that grows with each
-/// failure.
-void issue_later(world &w, claim_state &claim)
+/// Schedules the operation of the claim's step after a delay that grows with
+/// each failure.
+void retry_later(world &w, claim_state &claim)
 {
     auto const delay = backoff(w, claim.failures++);
     w.claims.due.add(w.now + delay, claim.request);
 }
 
-/// Ends the claim's request; the claim is settled with it.
+/// Refuses the claim's request, which also settles the claim.
 void refuse(world &w, claim_state &claim, result_code code, char const *message)
 {
     refuse_request(w, claim.request, code, message);
@@ -137,7 +137,7 @@
     if (!row)
     {
         refuse(w, claim, result_code::unknown_request,
-               "no call with this key has been recorded");
+               "no call with this idempotency key is recorded");
         return;
     }
     Json::Value document;
@@ -145,7 +145,7 @@
     {
     case claim_row_state::claimed:
         document["outcome"] =
-            holder_is_dead(w, row->attempt) ? "unknown" : "in_progress";
+            holder_has_ended(w, row->attempt) ? "unknown" : "in_progress";
         break;
     case claim_row_state::done:
         document["outcome"] = "done";
@@ -163,70 +163,70 @@
     answer(w, claim, http_ok, json_to_text(document));
 }
 
-void take_claim(world &w, claim_state &claim, std::uint64_t version)
+void confirm_claim(world &w, claim_state &claim, std::uint64_t version)
 {
     claim.row_version = version;
     claim.maybe_written = false;
     claim.failures = 0;
     if (claim.outcome)
     {
-        issue(w, claim, claim_step::recording);
+        send_operation(w, claim, claim_step::recording);
         return;
     }
     claim.step = claim_step::held;
     requeue_request(w, *w.requests.find(claim.request));
 }
 
-/// Goes on after the row was seen while an outcome is to be stored.
-void settle_seen(world &w, claim_state &claim, table_row const &seen,
-                 std::optional<claim_row> const &row)
+/// Continues with the stored row when the claim has an outcome to store.
+void settle_after_read(world &w, claim_state &claim, table_row const &stored,
+                       std::optional<claim_row> const &row)
 {
-    bool const ours = row && row->attempt == claim.row.attempt;
-    bool const absent =
-        seen.version == 0 && (claim.maybe_written ||
-                              claim.outcome->state != claim_row_state::not_run);
+    bool const by_this_claim = row && row->attempt == claim.row.attempt;
+    bool const absent = stored.version == 0 &&
+                        (claim.maybe_written ||
+                         claim.outcome->state != claim_row_state::not_run);
     bool const replaceable = claim.maybe_written && row &&
                              row->state == claim_row_state::not_run &&
-                             seen.version == claim.row_version;
-    if ((ours && row->state == claim.outcome->state) ||
-        (!ours && !absent && !replaceable))
+                             stored.version == claim.row_version;
+    if ((by_this_claim && row->state == claim.outcome->state) ||
+        (!by_this_claim && !absent && !replaceable))
     {
         w.claims.erase(claim.request);
         return;
     }
-    claim.row_version = seen.version;
-    issue(w, claim, claim_step::recording);
+    claim.row_version = stored.version;
+    send_operation(w, claim, claim_step::recording);
 }
 
-void wait_for_holder(world &w, claim_state &claim, table_row const &seen,
+void wait_for_holder(world &w, claim_state &claim, table_row const &stored,
                      claim_row const &row)
 {
-    if (!holder_is_dead(w, row.attempt))
+    if (!holder_has_ended(w, row.attempt))
     {
         claim.step = claim_step::waiting;
-        issue_later(w, claim);
+        retry_later(w, claim);
         return;
     }
     claim.marked = row;
     claim.marked.state = claim_row_state::unknown;
-    claim.row_version = seen.version;
-    issue(w, claim, claim_step::marking);
+    claim.row_version = stored.version;
+    send_operation(w, claim, claim_step::marking);
 }
 
-/// Goes on after the row of another call was seen.
-void see_other(world &w, claim_state &claim, table_row const &seen,
-               std::optional<claim_row> const &row)
+/// Continues when the stored row belongs to another call.
+void handle_foreign_row(world &w, claim_state &claim, table_row const &stored,
+                        std::optional<claim_row> const &row)
 {
     if (!row)
     {
         refuse(w, claim, result_code::outcome_unknown,
-               "the recorded outcome cannot be read");
+               "the stored outcome of the call cannot be decoded");
         return;
     }
     if (row->fingerprint != claim.row.fingerprint)
     {
         refuse(w, claim, result_code::idempotency_key_reused,
-               "the key was used with another body");
+               "the idempotency key was used with a different request");
         return;
     }
     switch (row->state)
@@ -236,23 +236,23 @@
         return;
     case claim_row_state::unknown:
         refuse(w, claim, result_code::outcome_unknown,
-               "the outcome of the call with this key is not known");
+               "the outcome of the call with this idempotency key is unknown");
         return;
     case claim_row_state::claimed:
     case claim_row_state::not_run:
-        wait_for_holder(w, claim, seen, *row);
+        wait_for_holder(w, claim, stored, *row);
         return;
     }
 }
 
-/// Goes on after the claim's row was read, or returned by a conflict.
-void see_row(world &w, claim_state &claim, table_row const &seen)
+/// Continues with the stored row, which was read or returned by a conflict.
+void handle_row(world &w, claim_state &claim, table_row const &stored)
 {
     auto const row =
-        seen.version == 0 ? std::nullopt : claim_row_from_text(seen.value);
+        stored.version == 0 ? std::nullopt : claim_row_from_text(stored.value);
     if (claim.outcome)
     {
-        settle_seen(w, claim, seen, row);
+        settle_after_read(w, claim, stored, row);
         return;
     }
     if (claim.step == claim_step::querying)
@@ -262,19 +262,19 @@
     }
     if (row && row->attempt == claim.row.attempt)
     {
-        take_claim(w, claim, seen.version);
+        confirm_claim(w, claim, stored.version);
         return;
     }
-    // A write is conditional on the version that it replaces, so one that was
-    // lost can take effect only while the row still has that version.
-    claim.maybe_written &= seen.version == claim.row_version;
-    if (seen.version == 0 || (row && row->state == claim_row_state::not_run))
+    // A write is conditional on the version that it replaces, so a write of
+    // unknown outcome can take effect only while the row has that version.
+    claim.maybe_written &= stored.version == claim.row_version;
+    if (stored.version == 0 || (row && row->state == claim_row_state::not_run))
     {
-        claim.row_version = seen.version;
-        issue(w, claim, claim_step::inserting);
+        claim.row_version = stored.version;
+        send_operation(w, claim, claim_step::inserting);
         return;
     }
-    see_other(w, claim, seen, row);
+    handle_foreign_row(w, claim, stored, row);
 }
 
 void handle_failed_insert(world &w, claim_state &claim, table_outcome outcome)
@@ -282,7 +282,7 @@
     if (outcome == table_outcome::unknown)
     {
         claim.maybe_written = true;
-        issue(w, claim, claim_step::reading);
+        send_operation(w, claim, claim_step::reading);
         return;
     }
     if (claim.outcome && !claim.maybe_written)
@@ -290,25 +290,25 @@
         w.claims.erase(claim.request);
         return;
     }
-    if (!claim.outcome && claim.failures + 1 >= insert_tries)
+    if (!claim.outcome && claim.failures + 1 >= max_insert_attempts)
     {
         refuse(w, claim, result_code::store_unavailable,
                "the table service does not answer");
         return;
     }
-    issue_later(w, claim);
+    retry_later(w, claim);
 }
 
 void handle_write(world &w, claim_state &claim, table_reply const &reply)
 {
     if (reply.outcome == table_outcome::committed)
     {
-        take_claim(w, claim, reply.rows.front().version);
+        confirm_claim(w, claim, reply.rows.front().version);
         return;
     }
     if (reply.outcome == table_outcome::conflict)
     {
-        see_row(w, claim, reply.rows.front());
+        handle_row(w, claim, reply.rows.front());
         return;
     }
     handle_failed_insert(w, claim, reply.outcome);
@@ -322,13 +322,13 @@
         w.claims.erase(claim.request);
         return;
     case table_outcome::conflict:
-        see_row(w, claim, reply.rows.front());
+        handle_row(w, claim, reply.rows.front());
         return;
     case table_outcome::unknown:
-        issue(w, claim, claim_step::reading);
+        send_operation(w, claim, claim_step::reading);
         return;
     case table_outcome::unavailable:
-        issue_later(w, claim);
+        retry_later(w, claim);
         return;
     }
 }
@@ -336,7 +336,7 @@
 void handle_reply(world &w, table_reply const &reply)
 {
     auto *claim = reply.owner == table_owner::claim
-                      ? w.claims.take(reply.operation)
+                      ? w.claims.end_wait(reply.operation)
                       : nullptr;
     if (claim == nullptr)
     {
@@ -357,32 +357,33 @@
         return;
     case claim_step::marking:
         claim->step = claim_step::waiting;
-        issue_later(w, *claim);
+        retry_later(w, *claim);
         return;
     default:
         break;
     }
     if (reply.outcome == table_outcome::committed)
     {
-        see_row(w, *claim, reply.rows.front());
+        handle_row(w, *claim, reply.rows.front());
         return;
     }
-    issue_later(w, *claim);
+    retry_later(w, *claim);
 }
 
-/// Ends a claim whose caller has waited until its deadline.
+/// Refuses the request of a claim whose deadline has passed.
 void expire(world &w, claim_state &claim)
 {
     switch (claim.step)
     {
     case claim_step::waiting:
         refuse(w, claim, result_code::in_progress,
-               "a call with this key is in progress");
+               "a call with this idempotency key is in progress");
         return;
     case claim_step::marking:
     case claim_step::querying:
-        refuse(w, claim, result_code::outcome_unknown,
-               "the outcome of the call with this key cannot be read");
+        refuse(
+            w, claim, result_code::outcome_unknown,
+            "the outcome of the call with this idempotency key cannot be read");
         return;
     default:
         refuse(w, claim, result_code::store_unavailable,
@@ -407,22 +408,23 @@
     {
         return;
     }
-    bool const stop_insert =
+    bool const skip_insert =
         claim->outcome && claim->step == claim_step::inserting;
-    issue(w, *claim, stop_insert ? claim_step::reading : claim->step);
+    send_operation(w, *claim, skip_insert ? claim_step::reading : claim->step);
 }
 
 claim_state &add_claim(world &w, request_state &request)
 {
     request.phase = request_phase::claiming;
-    auto const bound = request.kind.finish_deadline;
+    auto const finish_deadline = request.kind.finish_deadline;
     claim_state claim;
     claim.request = request.arrival.request;
     claim.key = claim_key_of(request.arrival);
     claim.row.attempt = attempt_id_of(w, claim.request);
     claim.row.fingerprint = fingerprint_of(request.arrival);
-    claim.deadline =
-        request.arrived_at + (bound.count() > 0 ? bound : default_deadline);
+    claim.deadline = request.arrived_at + (finish_deadline.count() > 0
+                                               ? finish_deadline
+                                               : default_finish_deadline);
     w.claims.due.add(claim.deadline, claim.request);
     return w.claims.add(std::move(claim));
 }
@@ -432,7 +434,7 @@
     claim.outcome = std::move(outcome);
     if (claim.step == claim_step::held)
     {
-        issue(w, claim, claim_step::recording);
+        send_operation(w, claim, claim_step::recording);
         return;
     }
     bool const in_flight =
@@ -449,7 +451,7 @@
     }
     if (claim.operation.value() == 0)
     {
-        issue(w, claim, claim_step::reading);
+        send_operation(w, claim, claim_step::reading);
     }
 }
 
@@ -462,12 +464,12 @@
 
 void begin_claim(world &w, request_state &request)
 {
-    issue(w, add_claim(w, request), claim_step::inserting);
+    send_operation(w, add_claim(w, request), claim_step::inserting);
 }
 
 void begin_outcome_query(world &w, request_state &request)
 {
-    issue(w, add_claim(w, request), claim_step::querying);
+    send_operation(w, add_claim(w, request), claim_step::querying);
 }
 
 bool holds_claim(world const &w, request_state const &request)
--- a/src/claim_row.hpp
+++ b/src/claim_row.hpp
@@ -10,7 +10,7 @@
 
 struct request_arrival;
 
-/// What the row of a non-idempotent call tells about it.
+/// Recorded state of a non-idempotent call.
 enum class claim_row_state
 {
     /// The holder may have sent the call, or may still send it.
@@ -19,18 +19,19 @@
     done,
     /// The call may have had an effect; it is never sent again.
     unknown,
-    /// The holder did not send the call and never will; another call may take
-    /// the row over.
+    /// The holder did not send the call and never will; another call may claim
+    /// the row.
     not_run,
 };
 
 /// Row of a non-idempotent call in the table service.
 struct claim_row
 {
-    /// Claim that wrote the row: "<daemon>:<incarnation>:<request>".
+    /// Identifier of the claim that wrote the row:
+    /// "<daemon>:<incarnation>:<request>".
     std::string attempt;
-    /// Hash of method, path and body, which tells a repeated call from another
-    /// call under the same key.
+    /// Hash of method, path and body; distinguishes a repeated call from a
+    /// different call with the same key.
     std::string fingerprint;
     claim_row_state state = claim_row_state::claimed;
     /// Answer of the endpoint, in state `done`.
@@ -40,7 +41,8 @@
     auto operator<=>(claim_row const &) const = default;
 };
 
-/// @return key of the row: "claim/<service>/<caller>/<hash of the key>"
+/// @return key of the row: "claim/<service>/<caller>/<hash of the idempotency
+///         key>"
 std::string claim_key_of(request_arrival const &arrival);
 
 /// @return the fingerprint of a call
@@ -49,7 +51,7 @@
 /// @return `row` as a JSON document
 std::string claim_row_to_text(claim_row const &row);
 
-/// @return the row, or nothing when `text` is no claim
+/// @return the row, or nothing when `text` is not the document of a claim row
 std::optional<claim_row> claim_row_from_text(std::string const &text);
 
 } // namespace agateledge
--- a/src/claim_table.cpp
+++ b/src/claim_table.cpp
@@ -30,12 +30,12 @@
 void claim_table::wait_for(claim_state &claim, operation_number operation)
 {
     internal_assert(claim.operation.value() == 0, "claim ", claim.row.attempt,
-                    " waits for two operations");
+                    " already waits for an operation");
     claim.operation = operation;
     by_operation_.emplace(operation, claim.request);
 }
 
-claim_state *claim_table::take(operation_number operation)
+claim_state *claim_table::end_wait(operation_number operation)
 {
     auto const found = by_operation_.find(operation);
     if (found == by_operation_.end())
--- a/src/claim_table.hpp
+++ b/src/claim_table.hpp
@@ -17,17 +17,17 @@
 {
     /// The claim row is being written.
     inserting,
-    /// The row is read again, because the answer to a write was lost.
+    /// The row is read again, because a write had an unknown outcome.
     reading,
     /// Another call holds the key; its outcome is polled.
     waiting,
-    /// The row of a dead holder is being marked as of unknown outcome.
+    /// The holder has ended; its row is being set to an unknown outcome.
     marking,
-    /// The claim is ours; the call waits for an endpoint or runs.
+    /// This claim holds the row; the call waits for an endpoint or runs.
     held,
     /// The outcome is being written.
     recording,
-    /// The row is read to tell a caller the outcome.
+    /// The row is read to report the outcome to a caller.
     querying,
 };
 
@@ -37,13 +37,13 @@
     request_number request;
     claim_step step = claim_step::inserting;
     std::string key;
-    /// What this claim writes to the row; `outcome` replaces it at the end.
+    /// Content of the row while the call is claimed; replaced by `outcome`.
     claim_row row;
-    /// Outcome to store, once it is known.
+    /// Outcome to store; set when the call ends.
     std::optional<claim_row> outcome;
     /// Version of the row that the next write replaces; 0 for an absent row.
     std::uint64_t row_version = 0;
-    /// Row of the holder that is being marked.
+    /// In step `marking`, the row of the ended holder with the state `unknown`.
     claim_row marked;
     /// Operation of the table service that is in flight; 0 for none.
     operation_number operation;
@@ -51,9 +51,9 @@
     bool maybe_written = false;
     /// True once a byte of the call may have been sent.
     bool sent = false;
-    /// Failures of the table service in a row.
+    /// Consecutive failures of the table service.
     int failures = 0;
-    /// Time until which the caller waits.
+    /// Time at which the request is refused unless its claim is held.
     instant deadline{};
 };
 
@@ -70,15 +70,16 @@
     /// Makes `claim` wait for the reply to `operation`.
     void wait_for(claim_state &claim, operation_number operation);
 
-    /// @return the claim that waited for `operation`, which it no longer does,
-    ///         or null when there is none
-    claim_state *take(operation_number operation);
+    /// Ends the wait for the reply to `operation`.
+    ///
+    /// @return the claim that waited for it, or null when there is none
+    claim_state *end_wait(operation_number operation);
 
     void erase(request_number request);
 
     std::size_t size() const { return states_.size(); }
 
-    /// Claims by the time of their next step or deadline.
+    /// Claims by the time of their next operation or deadline.
     due_queue<request_number> due;
 
 private:
--- a/src/lease_table.hpp
+++ b/src/lease_table.hpp
@@ -13,7 +13,7 @@
 namespace agateledge
 {
 
-/// What the daemon waits for from the table service.
+/// Operation of the table service that the daemon waits for.
 enum class lease_step
 {
     idle,
@@ -21,7 +21,7 @@
     writing,
 };
 
-/// Write of a lease row whose effect gives authority from `sent_at` on.
+/// Write of a lease row; if it took effect, the lease is valid from `sent_at`.
 struct lease_attempt
 {
     std::string id;
@@ -32,17 +32,19 @@
 struct lease_state
 {
     std::string data_centre;
-    /// Row that was read last, its version and that of `fence/<data centre>`.
+    /// Row as last read or written, its version and that of the row
+    /// `fence/<data centre>`.
     lease_row row;
     std::uint64_t row_version = 0;
     std::uint64_t fence_version = 0;
     fencing_number highest_fencing;
     bool observed = false;
-    /// Time at which the version of the row was first seen.
+    /// Time at which this version of the row was first observed.
     instant observed_at{};
-    /// True while the row, as last read, names this daemon's incarnation.
+    /// True while the row, as last read or written, names this incarnation of
+    /// this daemon.
     bool held = false;
-    /// Authority ends here, on this daemon's clock.
+    /// End of the authority on this daemon's clock.
     instant authority_until{};
     lease_step step = lease_step::idle;
     operation_number operation;
@@ -58,7 +60,7 @@
 class lease_table
 {
 public:
-    /// @return the lease of a data centre, added when it is not known
+    /// @return the lease of a data centre, which is added if absent
     lease_state &add(std::string const &data_centre);
 
     /// @return the lease of a data centre, or null
--- a/src/renew_leases.cpp
+++ b/src/renew_leases.cpp
@@ -17,17 +17,18 @@
 
 constexpr duration renew_interval = seconds(1);
 constexpr duration poll_interval = seconds(1);
-/// Daemons that rank below the first ones observe the lease less often. The
-/// interval is below the takeover time, so that a takeover is not tried with an
-/// old version of the row.
+/// Poll interval of daemons ranked after the first `fast_observers`. It is
+/// shorter than the takeover time, so that no takeover is attempted with an
+/// outdated version of the row.
 constexpr duration slow_poll_interval = seconds(3);
 constexpr std::size_t fast_observers = 2;
-/// A holder retries well within the time to live; an observer may wait longer.
+/// A holder must retry well within the time to live; an observer may wait
+/// longer.
 constexpr duration backoff_base = milliseconds(200);
 constexpr duration max_holder_backoff = milliseconds(500);
 constexpr duration max_observer_backoff = seconds(4);
-/// Time after which an unanswered call counts as having an unknown outcome.
-constexpr duration call_timeout = seconds(2);
+/// Time after which the outcome of an unanswered operation is unknown.
+constexpr duration operation_timeout = seconds(2);
 constexpr std::size_t max_attempts_kept = 8;
 
 std::string lease_key(lease_state const &lease)
@@ -76,7 +77,7 @@
     return row;
 }
 
-void remember_attempt(world &w, lease_state &lease, lease_row const &row)
+void record_attempt(world &w, lease_state &lease, lease_row const &row)
 {
     if (lease.attempts.size() >= max_attempts_kept)
     {
@@ -88,7 +89,7 @@
 void send_renewal(world &w, lease_state &lease)
 {
     auto const row = next_row(w, lease);
-    remember_attempt(w, lease, row);
+    record_attempt(w, lease, row);
     table_call call;
     call.conditions.push_back({lease_key(lease), lease.row_version});
     call.puts.push_back({lease_key(lease), lease_row_to_text(row)});
@@ -99,7 +100,7 @@
 {
     auto row = next_row(w, lease);
     row.fencing = fencing_number(lease.highest_fencing.value() + 1);
-    remember_attempt(w, lease, row);
+    record_attempt(w, lease, row);
     table_call call;
     call.conditions.push_back({lease_key(lease), lease.row_version});
     call.conditions.push_back({fence_key(lease), lease.fence_version});
@@ -121,7 +122,7 @@
     send(w, lease, lease_step::writing, std::move(call));
 }
 
-/// @return the time from which this daemon may take the lease over
+/// @return the earliest time at which this daemon may take the lease over
 instant takeover_time(lease_state const &lease)
 {
     if (lease.row.holder.empty())
@@ -133,13 +134,13 @@
     return lease.observed_at + time_to_live + lease_margin;
 }
 
-void take_fencing(lease_state &lease, fencing_number fencing)
+void raise_highest_fencing(lease_state &lease, fencing_number fencing)
 {
     lease.highest_fencing = std::max(lease.highest_fencing, fencing);
 }
 
-/// Starts the authority that a row of this daemon gives.
-void take_authority(world &w, lease_state &lease)
+/// Starts or extends authority after a row of this daemon was read or written.
+void extend_authority(world &w, lease_state &lease)
 {
     bool const first = !std::exchange(lease.held, true);
     lease.next_action = w.now;
@@ -147,8 +148,9 @@
                                            &lease_attempt::id);
     if (attempt != lease.attempts.end())
     {
-        auto const until = attempt->sent_at + lease_time_to_live - lease_margin;
-        lease.authority_until = std::max(lease.authority_until, until);
+        auto const valid_until =
+            attempt->sent_at + lease_time_to_live - lease_margin;
+        lease.authority_until = std::max(lease.authority_until, valid_until);
         lease.next_action = attempt->sent_at + renew_interval;
         lease.attempts.erase(lease.attempts.begin(), attempt);
     }
@@ -175,28 +177,28 @@
     lease.observed = true;
     lease.row_version = row.version;
     lease.row = lease_row_from_text(row.value);
-    bool const own = lease.row.holder == w.identity.name &&
-                     lease.row.incarnation == w.identity.incarnation;
-    if (own && !lease.release_sent)
+    bool const held_here = lease.row.holder == w.identity.name &&
+                           lease.row.incarnation == w.identity.incarnation;
+    if (held_here && !lease.release_sent)
     {
-        take_authority(w, lease);
+        extend_authority(w, lease);
         return;
     }
     lose_authority(w, lease);
 }
 
-void take_read(world &w, lease_state &lease, table_reply const &reply)
+void handle_read(world &w, lease_state &lease, table_reply const &reply)
 {
     auto const fence = lease_row_from_text(reply.rows.at(1).value);
     lease.fence_version = reply.rows.at(1).version;
-    take_fencing(lease, fence.fencing);
+    raise_highest_fencing(lease, fence.fencing);
     bool const fast = rendezvous_rank(w, "lease") < fast_observers;
     lease.next_action = w.now + (fast ? poll_interval : slow_poll_interval);
     observe_row(w, lease, reply.rows.front());
-    take_fencing(lease, lease.row.fencing);
+    raise_highest_fencing(lease, lease.row.fencing);
 }
 
-void take_commit(world &w, lease_state &lease, table_reply const &reply)
+void handle_commit(world &w, lease_state &lease, table_reply const &reply)
 {
     if (reply.rows.size() > 1)
     {
@@ -204,21 +206,22 @@
     }
     observe_row(w, lease, reply.rows.front());
     internal_assert(lease.row.fencing >= lease.highest_fencing,
-                    "fencing number of ", lease.data_centre, " went back from ",
+                    "fencing number of ", lease.data_centre, " decreased from ",
                     lease.highest_fencing.value(), " to ",
                     lease.row.fencing.value());
-    take_fencing(lease, lease.row.fencing);
+    raise_highest_fencing(lease, lease.row.fencing);
 }
 
-void take_failure(world &w, lease_state &lease)
+void handle_failure(world &w, lease_state &lease)
 {
     ++lease.failures;
-    auto const most = lease.held ? max_holder_backoff : max_observer_backoff;
-    lease.next_action =
-        w.now + backoff_delay(w.random, lease.failures, backoff_base, most);
+    auto const max_delay =
+        lease.held ? max_holder_backoff : max_observer_backoff;
+    lease.next_action = w.now + backoff_delay(w.random, lease.failures,
+                                              backoff_base, max_delay);
 }
 
-void take_reply(world &w, lease_state &lease, table_reply const &reply)
+void handle_reply(world &w, lease_state &lease, table_reply const &reply)
 {
     if (reply.operation != lease.operation || lease.step == lease_step::idle)
     {
@@ -229,30 +232,30 @@
     {
     case table_outcome::committed:
         lease.failures = 0;
-        step == lease_step::reading ? take_read(w, lease, reply)
-                                    : take_commit(w, lease, reply);
+        step == lease_step::reading ? handle_read(w, lease, reply)
+                                    : handle_commit(w, lease, reply);
         return;
     case table_outcome::conflict:
         send_read(w, lease);
         return;
     case table_outcome::unknown:
     case table_outcome::unavailable:
-        take_failure(w, lease);
+        handle_failure(w, lease);
         return;
     }
 }
 
-void expire_call(world &w, lease_state &lease)
+void expire_operation(world &w, lease_state &lease)
 {
     if (lease.step != lease_step::idle &&
-        w.now - lease.operation_sent_at >= call_timeout)
+        w.now - lease.operation_sent_at >= operation_timeout)
     {
         lease.step = lease_step::idle;
-        take_failure(w, lease);
+        handle_failure(w, lease);
     }
 }
 
-void act(world &w, lease_state &lease)
+void send_next(world &w, lease_state &lease)
 {
     if (lease.held && lease.failures == 0)
     {
@@ -271,7 +274,7 @@
 {
     if (lease.step != lease_step::idle)
     {
-        return lease.operation_sent_at + call_timeout;
+        return lease.operation_sent_at + operation_timeout;
     }
     if (lease.held || !lease.observed || lease.failures > 0)
     {
@@ -324,10 +327,10 @@
     {
         if (reply.owner == table_owner::lease)
         {
-            take_reply(w, lease, reply);
+            handle_reply(w, lease, reply);
         }
     }
-    expire_call(w, lease);
+    expire_operation(w, lease);
     if (w.draining)
     {
         drain(w, lease);
@@ -335,7 +338,7 @@
     }
     if (lease.step == lease_step::idle && w.now >= next_action(lease))
     {
-        act(w, lease);
+        send_next(w, lease);
     }
     wake_at(w, next_action(lease));
 }
