--- a/src/check_invariants.cpp
+++ b/src/check_invariants.cpp
@@ -17,7 +17,7 @@
     auto const index = w.engines.find(call.engine);
     internal_assert(index.has_value(), "call to unknown engine ", call.engine);
     internal_assert(call.attach || w.engines.at(*index).takes_work(),
-                    "call to engine ", call.engine, " which takes no work");
+                    "call to engine ", call.engine, " which accepts no work");
 }
 
 void check_service_call(world const &w, service_call const &call)
@@ -40,13 +40,14 @@
                     ", the lease has ", lease->row.fencing.value());
     auto const state = w.orders.states.find(order.engine);
     internal_assert(state != w.orders.states.end() &&
-                        state->second.record.state == order_state_name::open &&
+                        state->second.record.state ==
+                            order_record_state::open &&
                         state->second.record.order == order &&
                         state->second.row_version != 0,
-                    "order ", order.id, " sent without its record");
+                    "order ", order.id, " sent without an open record");
     internal_assert(w.engines.at(*w.engines.find(order.engine)).changing,
                     "order ", order.id, " sent to engine ", order.engine,
-                    " which still takes work");
+                    " which still accepts work");
 }
 
 void check_revision(world &w)
--- a/src/check_invariants.hpp
+++ b/src/check_invariants.hpp
@@ -6,9 +6,9 @@
 
 struct world;
 
-/// Asserts what must hold after each tick. The cost does not depend on the
-/// number of open requests: each tick checks what it touched, and a bounded
-/// number of table rows in turn.
+/// Asserts the invariants that hold after each tick. The cost does not depend
+/// on the number of open requests: only the output of the tick, the
+/// configuration revision and the sizes of tables are checked.
 void check_invariants(world &w);
 
 } // namespace agateledge
--- a/src/engine_order.hpp
+++ b/src/engine_order.hpp
@@ -11,7 +11,7 @@
 namespace agateledge
 {
 
-/// Change that an order asks an engine for.
+/// Kind of change that an order asks for.
 enum class order_kind
 {
     change_role,
@@ -20,7 +20,7 @@
 };
 
 /// Order to an engine, recorded in the table service before it is sent. Sending
-/// the same order twice has the effect of sending it once.
+/// an order is idempotent.
 struct engine_order
 {
     /// Unique over all daemons: "<daemon>:<incarnation>:<sequence>".
@@ -36,7 +36,7 @@
     /// Generation of the engine that the order applies to; an engine that
     /// checks it refuses an order for another generation.
     std::uint64_t expected_generation = 0;
-    /// Time after the send at which the engine must refuse the order.
+    /// Time after sending from which the engine must refuse the order.
     duration time_to_live = seconds(5);
 
     auto operator<=>(engine_order const &) const = default;
--- a/src/engine_role.hpp
+++ b/src/engine_role.hpp
@@ -7,7 +7,7 @@
 namespace agateledge
 {
 
-/// Work that an engine takes.
+/// Kind of work that an engine accepts.
 enum class engine_role
 {
     mixed,
@@ -18,7 +18,7 @@
 /// @return "mixed", "prefill" or "decode"
 std::string_view name_of(engine_role role);
 
-/// @return the role of that name, or nothing for an unknown name
+/// @return the role with that name, or nothing for an unknown name
 std::optional<engine_role> parse_engine_role(std::string_view name);
 
 } // namespace agateledge
--- a/src/issue_orders.cpp
+++ b/src/issue_orders.cpp
@@ -18,16 +18,18 @@
 {
 
 constexpr duration poll_interval = milliseconds(100);
-constexpr duration call_timeout = seconds(2);
+constexpr duration operation_timeout = seconds(2);
 constexpr duration backoff_base = milliseconds(100);
 constexpr duration max_backoff = seconds(2);
-/// Sends of an unresolved order; an accepted one is only asked about.
+/// Intervals at which an unresolved order is sent again. The engine has already
+/// taken an accepted one, so sending it again only asks for its state.
 constexpr duration resend_interval = seconds(1);
 constexpr duration resend_accepted_interval = seconds(3);
-/// Time for peers to move their open work after the drain has timed out.
-constexpr duration move_time = seconds(5);
-/// Orders recorded for one wish before it is given up.
-constexpr int max_tries = 2;
+/// Time after the drain time-out in which all daemons move their open work to
+/// other engines.
+constexpr duration move_timeout = seconds(5);
+/// Orders recorded for one requested change before it is dropped.
+constexpr int max_orders_per_change = 2;
 
 std::string order_key(std::string const &engine)
 {
@@ -46,7 +48,7 @@
           {"fencing", std::to_string(record.order.fencing.value())}}});
 }
 
-bool takes_engine_away(order_state const &state)
+bool makes_engine_unavailable(order_state const &state)
 {
     return state.step != order_step::idle && state.step != order_step::reading;
 }
@@ -83,9 +85,10 @@
     return engine == nullptr || engine->definition.checks_fencing;
 }
 
-/// An engine that ignores fencing numbers may still receive a copy of an
-/// earlier order until its deadline, or from a holder that was paused between
-/// its check and its send.
+/// Delays the next order of an engine that ignores fencing numbers. The engine
+/// may receive a delayed copy of an earlier order until that order's deadline,
+/// or an order from a previous holder that was paused between checking its
+/// authority and sending.
 void quarantine(world &w, order_state &state)
 {
     if (checks_fencing(w, state) || w.faults.skip_order_resolution)
@@ -116,8 +119,8 @@
     send(w, state, std::move(call));
 }
 
-/// Writes the record under the condition that neither the lease's holder nor
-/// the row has changed.
+/// Writes the record on condition that neither the holder of the lease nor the
+/// row has changed.
 void send_record(world &w, order_state &state)
 {
     auto const &data_centre = w.identity.data_centre;
@@ -142,8 +145,8 @@
            std::to_string(++w.orders.last_sequence);
 }
 
-/// Turns the wanted change into a record, or drops it when it is not needed
-/// any more.
+/// Records an order for the requested change, or drops the request when it is
+/// no longer needed.
 void begin_order(world &w, order_state &state)
 {
     if (w.now < state.quarantined_until)
@@ -179,7 +182,7 @@
     set_step(w, state, order_step::draining);
 }
 
-void adopt(world &w, order_state &state)
+void adopt_order(world &w, order_state &state)
 {
     state.record.order.fencing = w.orders.fencing;
     state.wanted.reset();
@@ -187,17 +190,17 @@
     set_step(w, state, order_step::recording);
 }
 
-void take_open_row(world &w, order_state &state)
+void handle_open_row(world &w, order_state &state)
 {
     if (state.record.order.fencing == w.orders.fencing)
     {
         begin_drain(w, state);
         return;
     }
-    adopt(w, state);
+    adopt_order(w, state);
 }
 
-void take_row(world &w, order_state &state, table_row const &row)
+void handle_row(world &w, order_state &state, table_row const &row)
 {
     state.row_version = row.version;
     if (row.version == 0)
@@ -207,10 +210,10 @@
     }
     auto const record = order_record_from_text(row.value);
     state.record = record.ok() ? *record : order_record();
-    if (record.ok() && record->state == order_state_name::open &&
+    if (record.ok() && record->state == order_record_state::open &&
         !w.faults.skip_order_resolution)
     {
-        take_open_row(w, state);
+        handle_open_row(w, state);
         return;
     }
     quarantine(w, state);
@@ -221,13 +224,14 @@
 {
     auto const &record = state.record;
     log_order(w, state, "order_resolved");
-    if (record.state == order_state_name::done &&
+    if (record.state == order_record_state::done &&
         record.order.kind == order_kind::change_role)
     {
         ++w.totals.role_changes;
     }
     quarantine(w, state);
-    if (record.state == order_state_name::lost && record.tries < max_tries)
+    if (record.state == order_record_state::lost &&
+        record.tries < max_orders_per_change)
     {
         state.wanted = record.order;
         state.wanted_tries = record.tries + 1;
@@ -235,7 +239,7 @@
     set_step(w, state, order_step::idle);
 }
 
-void take_commit(world &w, order_state &state, table_reply const &reply)
+void handle_commit(world &w, order_state &state, table_reply const &reply)
 {
     auto const key = order_key(state.engine);
     auto const row = std::ranges::find(reply.rows, key, &table_row::key);
@@ -248,7 +252,7 @@
     switch (state.step)
     {
     case order_step::reading:
-        take_row(w, state, *row);
+        handle_row(w, state, *row);
         return;
     case order_step::recording:
         state.row_version = row->version;
@@ -266,27 +270,27 @@
     }
 }
 
-/// Reads the row again after a write whose effect is not known.
-void read_again(world &w, order_state &state)
+/// Reads the row again after an operation with an unknown outcome.
+void reread_row(world &w, order_state &state)
 {
     set_step(w, state, order_step::reading);
     back_off(w, state);
 }
 
-void take_reply(world &w, order_state &state, table_reply const &reply)
+void handle_reply(world &w, order_state &state, table_reply const &reply)
 {
     state.operation.reset();
     switch (reply.outcome)
     {
     case table_outcome::committed:
-        take_commit(w, state, reply);
+        handle_commit(w, state, reply);
         return;
     case table_outcome::conflict:
         w.leases.find(w.identity.data_centre)->next_action = w.now;
-        read_again(w, state);
+        reread_row(w, state);
         return;
     case table_outcome::unknown:
-        read_again(w, state);
+        reread_row(w, state);
         return;
     case table_outcome::unavailable:
         back_off(w, state);
@@ -294,15 +298,17 @@
     }
 }
 
-void resolve(world &w, order_state &state, order_state_name name)
+void resolve(world &w, order_state &state, order_record_state name)
 {
     state.record.state = name;
     set_step(w, state, order_step::resolving);
     send_record(w, state);
 }
 
-/// @return true when the engine's report or the configuration settles what
-///         became of the order
+/// Resolves the order if the engine's report or the configuration shows what
+/// became of it.
+///
+/// @return true when the order needs no further drain or send
 bool resolve_from_report(world &w, order_state &state)
 {
     auto const *engine = engine_of(w, state);
@@ -313,7 +319,7 @@
             state.last_sent.value_or(state.drain_started.value_or(w.now));
         if (w.now - since >= order.time_to_live)
         {
-            resolve(w, state, order_state_name::abandoned);
+            resolve(w, state, order_record_state::abandoned);
         }
         return true;
     }
@@ -326,7 +332,8 @@
     if (!took_effect || engine->report->ready)
     {
         resolve(w, state,
-                took_effect ? order_state_name::done : order_state_name::lost);
+                took_effect ? order_record_state::done
+                            : order_record_state::lost);
     }
     return true;
 }
@@ -345,7 +352,7 @@
     set_step(w, state, order_step::sent);
 }
 
-bool is_quiet(world const &w, order_state const &state)
+bool is_idle(world const &w, order_state const &state)
 {
     auto const *engine = engine_of(w, state);
     return engine->own_requests == 0 && engine->peer_requests == 0 &&
@@ -377,7 +384,7 @@
     }
 }
 
-void follow_sent(world &w, order_state &state)
+void resend_if_due(world &w, order_state &state)
 {
     if (resolve_from_report(w, state))
     {
@@ -391,8 +398,9 @@
     }
 }
 
-/// Without authority nothing is sent, a wish is dropped, and an engine that is
-/// only being drained takes work again.
+/// Suspends the order while this daemon may not act: nothing is sent, a
+/// requested change is dropped, and an engine that is only being drained takes
+/// work again.
 void pause_order(world &w, order_state &state)
 {
     state.wanted.reset();
@@ -405,7 +413,7 @@
     set_step(w, state, state.step);
 }
 
-void step_order(world &w, order_state &state)
+void run_step(world &w, order_state &state)
 {
     switch (state.step)
     {
@@ -423,17 +431,17 @@
         drain(w, state);
         return;
     case order_step::sent:
-        follow_sent(w, state);
+        resend_if_due(w, state);
         return;
     }
 }
 
 void advance(world &w, order_state &state)
 {
-    if (state.operation && w.now - state.operation_sent_at >= call_timeout)
+    if (state.operation && w.now - state.operation_sent_at >= operation_timeout)
     {
         state.operation.reset();
-        read_again(w, state);
+        reread_row(w, state);
     }
     if (state.operation)
     {
@@ -446,11 +454,11 @@
     }
     if (w.now >= state.not_before)
     {
-        step_order(w, state);
+        run_step(w, state);
     }
 }
 
-void forget_orders(world &w)
+void clear_orders(world &w)
 {
     auto const states = std::exchange(w.orders.states, {});
     w.orders.active.clear();
@@ -461,8 +469,8 @@
     }
 }
 
-/// Reads the order rows of the whole data centre at once.
-void begin_term(world &w, fencing_number fencing)
+/// Reads the order rows of all engines of the data centre in one operation.
+void read_order_rows(world &w, fencing_number fencing)
 {
     w.orders.fencing = fencing;
     table_call call;
@@ -492,20 +500,20 @@
     }
 }
 
-void follow_authority(world &w, lease_state const &lease)
+void apply_lease(world &w, lease_state const &lease)
 {
-    bool const other_term = lease.row.fencing != w.orders.fencing;
-    if (w.orders.fencing.value() != 0 && (!lease.held || other_term))
+    bool const fencing_changed = lease.row.fencing != w.orders.fencing;
+    if (w.orders.fencing.value() != 0 && (!lease.held || fencing_changed))
     {
-        forget_orders(w);
+        clear_orders(w);
     }
-    if (lease.held && other_term)
+    if (lease.held && fencing_changed)
     {
-        begin_term(w, lease.row.fencing);
+        read_order_rows(w, lease.row.fencing);
     }
 }
 
-void take_table_reply(world &w, table_reply const &reply)
+void handle_table_reply(world &w, table_reply const &reply)
 {
     auto const engines = w.orders.active;
     for (auto const &engine : engines)
@@ -513,12 +521,12 @@
         auto &state = w.orders.states.at(engine);
         if (state.operation == reply.operation)
         {
-            take_reply(w, state, reply);
+            handle_reply(w, state, reply);
         }
     }
 }
 
-void take_order_reply(world &w, order_reply const &reply)
+void handle_order_reply(world &w, order_reply const &reply)
 {
     auto const found = w.orders.states.find(reply.engine);
     if (found == w.orders.states.end() ||
@@ -543,9 +551,11 @@
         return;
     }
     auto const state = w.orders.states.find(engine);
-    bool const own = state != w.orders.states.end() &&
-                     takes_engine_away(state->second) && may_act(w);
-    w.engines.at(*index).changing = own || w.orders.notices.contains(engine);
+    bool const changed_here = state != w.orders.states.end() &&
+                              makes_engine_unavailable(state->second) &&
+                              may_act(w);
+    w.engines.at(*index).changing =
+        changed_here || w.orders.notices.contains(engine);
 }
 
 bool is_drained(world const &w, order_state const &state)
@@ -554,8 +564,8 @@
     {
         return true;
     }
-    auto const longest = w.config.policy.drain_timeout + move_time;
-    return is_quiet(w, state) || w.now - *state.drain_started >= longest;
+    auto const max_drain_time = w.config.policy.drain_timeout + move_timeout;
+    return is_idle(w, state) || w.now - *state.drain_started >= max_drain_time;
 }
 
 void issue_orders(world &w)
@@ -565,16 +575,16 @@
     {
         return;
     }
-    follow_authority(w, *lease);
+    apply_lease(w, *lease);
     for (auto const &reply : w.in.table_replies)
     {
         if (reply.owner == table_owner::order)
         {
-            take_table_reply(w, reply);
+            handle_table_reply(w, reply);
         }
     }
     std::ranges::for_each(w.in.order_replies, [&w](order_reply const &reply)
-                          { take_order_reply(w, reply); });
+                          { handle_order_reply(w, reply); });
     if (w.orders.active.empty())
     {
         return;
--- a/src/order_record.cpp
+++ b/src/order_record.cpp
@@ -55,7 +55,7 @@
 {
     auto const order = order_from(in["order"]);
     auto const state =
-        parse<order_state_name>(state_names, in["state"].asString());
+        parse<order_record_state>(state_names, in["state"].asString());
     if (!order.ok())
     {
         return order.status();
@@ -70,7 +70,7 @@
 
 } // namespace
 
-std::string_view name_of(order_state_name state)
+std::string_view name_of(order_record_state state)
 {
     return state_names.at(static_cast<std::size_t>(state));
 }
--- a/src/order_table.hpp
+++ b/src/order_table.hpp
@@ -13,40 +13,40 @@
 namespace agateledge
 {
 
-/// Where the order of one engine stands.
+/// Progress of the order of one engine.
 enum class order_step
 {
-    /// The order row is being read or must be read.
+    /// The order row is being read, or must be read next.
     reading,
     /// No order is open.
     idle,
     /// The order row is being written.
     recording,
-    /// The order is recorded; the engine still has work.
+    /// The order is recorded; the engine is finishing its open work.
     draining,
-    /// The order was sent; the engine's report has not resolved it.
+    /// The order was sent; no report of the engine has resolved it yet.
     sent,
     /// The resolution is being written.
     resolving,
 };
 
-/// Order of one engine, as the holder of the lease knows it.
+/// Order of one engine, as known to the holder of the lease.
 struct order_state
 {
     std::string engine;
     order_step step = order_step::reading;
-    /// Change to record next.
+    /// Requested change that is recorded next.
     std::optional<engine_order> wanted;
     int wanted_tries = 1;
-    /// Row as last read or written, or as it is being written.
+    /// Content of the row as last read or written, or as being written.
     order_record record;
     std::uint64_t row_version = 0;
-    /// Operation that is under way, if any.
+    /// Operation of the table service that is in flight, if any.
     std::optional<operation_number> operation;
     instant operation_sent_at{};
-    /// No read, write or send before this time.
+    /// End of the back-off; no read, write or send before this time.
     instant not_before{};
-    /// No different order before this time.
+    /// No other order is started before this time.
     instant quarantined_until{};
     std::optional<instant> drain_started;
     bool moved = false;
@@ -55,29 +55,32 @@
     int failures = 0;
 };
 
-/// Notice that an engine is being changed, from the holder of its lease.
+/// Notice from the holder of an engine's lease that the engine is being
+/// changed.
 struct change_notice
 {
-    /// Generation that the order expects; the change is over once the engine
+    /// Generation that the order expects; the change has ended when the engine
     /// reports a higher one.
     std::uint64_t generation = 0;
+    /// Time at which the first notice of the change was received.
     instant first_heard{};
+    /// Time at which the holder of the lease last stated the change.
     instant heard{};
     bool moved = false;
 };
 
 /// Orders of the data centre whose lease this daemon holds, and notices of
-/// changes elsewhere.
+/// changes by other daemons.
 class order_table
 {
 public:
-    /// Fencing number under which the states were read; 0 for none.
+    /// Fencing number of the lease under which `states` was read; 0 for none.
     fencing_number fencing;
     std::uint64_t last_sequence = 0;
     std::map<std::string, order_state> states;
-    /// Engines whose step is not `idle`.
+    /// Engines whose step is not `idle` or that have a requested change.
     std::set<std::string> active;
-    /// Changes by other daemons, by engine.
+    /// Notices of changes by other daemons, by engine.
     std::map<std::string, change_notice> notices;
 };
 
--- a/src/order_targets.hpp
+++ b/src/order_targets.hpp
@@ -7,8 +7,8 @@
 struct engine_order;
 struct load_report;
 
-/// @return true when the engine already is as `order` would make it; an adapter
-///         is never reported, so that an order for one is always needed
+/// @return true when the engine is already in the state that `order` asks for;
+///         always false for an adapter, since engines do not report adapters
 bool meets_target(load_report const &report, engine_order const &order);
 
 } // namespace agateledge
--- a/src/plan_role_changes.cpp
+++ b/src/plan_role_changes.cpp
@@ -17,18 +17,21 @@
 {
 
 constexpr duration plan_interval = seconds(2);
-/// Time over which the demand is averaged.
-constexpr double demand_seconds = 15;
-/// Plans in a row that must favour the same move.
-constexpr int plans_for_change = 3;
-constexpr duration change_spacing = seconds(8);
-/// Engines that may be away at the same time, over all data centres.
-constexpr int max_away = 2;
-/// Time that an order takes an engine away, without the drain.
-constexpr double order_seconds = 4;
-/// Time that a drain takes: prompts end soon, answers run on.
+/// Time constant of the moving average of the demand.
+constexpr double demand_averaging_seconds = 15;
+/// Consecutive plans that must favour the same move before it is ordered.
+constexpr int min_consecutive_plans = 3;
+/// Minimum time between two role changes.
+constexpr duration min_change_interval = seconds(8);
+/// Engines of a service that may be unavailable at the same time, over all data
+/// centres.
+constexpr int max_unavailable = 2;
+/// Time for which an order makes an engine unavailable, without the drain.
+constexpr double order_execution_seconds = 4;
+/// Expected time of a drain: prefill work ends soon, answers continue to be
+/// decoded.
 constexpr double prefill_drain_seconds = 1;
-constexpr double answer_drain_seconds = 15;
+constexpr double decode_drain_seconds = 15;
 
 constexpr std::array<role_move, 6> moves = {{
     {engine_role::mixed, engine_role::prefill},
@@ -39,7 +42,7 @@
     {engine_role::decode, engine_role::prefill},
 }};
 
-/// Fleet of a service as the plan sees it.
+/// Engines and demand of one service, as input of a plan.
 struct fleet
 {
     std::string service;
@@ -47,7 +50,7 @@
     role_rates rates;
     token_demand demand;
     double weight_per_second = 0;
-    int away = 0;
+    int unavailable = 0;
 };
 
 struct proposal
@@ -70,7 +73,7 @@
     return counts.mixed;
 }
 
-int live_daemons(world const &w)
+int daemon_count(world const &w)
 {
     return w.hooks.live_daemons > 0 ? w.hooks.live_daemons
                                     : std::max(1, w.peers.live_daemons);
@@ -78,9 +81,9 @@
 
 bool may_plan(world const &w)
 {
-    auto const &place = w.identity.data_centre;
-    return w.hooks.plans_for ? w.hooks.plans_for(w, place)
-                             : holds_authority(w, place);
+    auto const &data_centre = w.identity.data_centre;
+    return w.hooks.plans_for ? w.hooks.plans_for(w, data_centre)
+                             : holds_authority(w, data_centre);
 }
 
 void count_arrivals(world &w)
@@ -105,18 +108,18 @@
 {
     auto const passed = to_seconds(w.now - w.plan.counted_at);
     w.plan.counted_at = w.now;
-    auto const kept = std::exp(-passed / demand_seconds);
-    auto const scale = passed > 0 ? (1 - kept) / passed : 0.0;
+    auto const decay = std::exp(-passed / demand_averaging_seconds);
+    auto const scale = passed > 0 ? (1 - decay) / passed : 0.0;
     for (auto &[service, demand] : w.plan.demand)
     {
-        auto const mix = [&](double &mean, double &sum)
+        auto const update_mean = [&](double &mean, double &sum)
         {
-            mean = kept * mean + scale * sum;
+            mean = decay * mean + scale * sum;
             sum = 0;
         };
-        mix(demand.prompt_tokens_per_second, demand.prompt_tokens);
-        mix(demand.output_tokens_per_second, demand.output_tokens);
-        mix(demand.weight_per_second, demand.weight);
+        update_mean(demand.prompt_tokens_per_second, demand.prompt_tokens);
+        update_mean(demand.output_tokens_per_second, demand.output_tokens);
+        update_mean(demand.weight_per_second, demand.weight);
     }
 }
 
@@ -126,35 +129,36 @@
     return batch / (costs.step_base + costs.step_slope * batch);
 }
 
-/// Learned rates where the role has been seen at work, the defaults elsewhere.
+/// @return the learned rates of the roles with enough samples and the
+///         defaults of the others
 role_rates rates_of(world const &w, std::string const &service)
 {
-    constexpr int enough = 50;
+    constexpr int min_samples = 50;
     role_rates out;
     auto const &prefill = w.costs.role(service, engine_role::prefill);
     auto const &decode = w.costs.role(service, engine_role::decode);
-    if (prefill.prefill_samples > enough)
+    if (prefill.prefill_samples > min_samples)
     {
         out.prefill = prefill.prefill_rate;
     }
-    if (decode.step_samples > enough)
+    if (decode.step_samples > min_samples)
     {
         out.decode = decode_rate(decode);
     }
     return out;
 }
 
-fleet describe(world const &w, std::string const &service,
+fleet fleet_of(world const &w, std::string const &service,
                service_demand const &demand)
 {
     fleet out;
     out.service = service;
     out.rates = rates_of(w, service);
-    auto const daemons = live_daemons(w);
+    auto const daemons = daemon_count(w);
     out.demand = {demand.prompt_tokens_per_second * daemons,
                   demand.output_tokens_per_second * daemons};
-    double hits = 0;
-    double prompts = 0;
+    double hit_share_sum = 0;
+    double prefill_engines = 0;
     out.weight_per_second = demand.weight_per_second * daemons;
     for (auto const &engine : w.engines.all())
     {
@@ -162,21 +166,23 @@
         {
             continue;
         }
-        bool const away =
+        bool const unavailable =
             engine.changing || (engine.report && !engine.report->ready);
-        out.away += away ? 1 : 0;
-        if (engine.takes_work() || away)
+        out.unavailable += unavailable ? 1 : 0;
+        if (engine.takes_work() || unavailable)
         {
             count_of(out.engines, engine.role()) += 1;
         }
         if (engine.role() != engine_role::decode)
         {
-            hits += w.costs.engine(*w.engines.find(engine.definition.name))
-                        .hit_share;
-            prompts += 1;
+            hit_share_sum +=
+                w.costs.engine(*w.engines.find(engine.definition.name))
+                    .hit_share;
+            prefill_engines += 1;
         }
     }
-    out.demand.prompt *= 1 - (prompts > 0 ? hits / prompts : 0.0);
+    out.demand.prompt *=
+        1 - (prefill_engines > 0 ? hit_share_sum / prefill_engines : 0.0);
     return out;
 }
 
@@ -186,18 +192,20 @@
         return expected_goodput(
             utilisation(engines, state.rates, state.demand));
     };
-    auto absent = state.engines;
-    count_of(absent, move.from) -= 1;
-    auto changed = absent;
+    auto without_engine = state.engines;
+    count_of(without_engine, move.from) -= 1;
+    auto changed = without_engine;
     count_of(changed, move.to) += 1;
-    auto const present = goodput(state.engines);
+    auto const current = goodput(state.engines);
     auto const horizon = to_seconds(w.config.policy.role_horizon);
-    auto const drained = move.from == engine_role::prefill
-                             ? prefill_drain_seconds
-                             : answer_drain_seconds;
-    auto const away = order_seconds + drained;
-    auto const gained = (goodput(changed) - present) * (horizon - away);
-    auto const lost = std::max(0.0, present - goodput(absent)) * away;
+    auto const drain_seconds = move.from == engine_role::prefill
+                                   ? prefill_drain_seconds
+                                   : decode_drain_seconds;
+    auto const unavailable_seconds = order_execution_seconds + drain_seconds;
+    auto const gained =
+        (goodput(changed) - current) * (horizon - unavailable_seconds);
+    auto const lost =
+        std::max(0.0, current - goodput(without_engine)) * unavailable_seconds;
     return (gained - lost) * state.weight_per_second;
 }
 
@@ -207,7 +215,7 @@
     for (auto const &move : moves)
     {
         auto engines = state.engines;
-        // The last engine of a kind stays.
+        // The last engine of a role is not changed.
         if (count_of(engines, move.from) < 2)
         {
             continue;
@@ -222,28 +230,29 @@
     return best;
 }
 
-/// @return the engine of this data centre with the role and the least work
+/// @return the engine of `service` in this data centre with the role and the
+///         least work, or null when there is none
 engine_state const *least_busy(world const &w, std::string const &service,
                                engine_role role)
 {
-    engine_state const *least = nullptr;
+    engine_state const *chosen = nullptr;
     auto const work = [](engine_state const &engine)
     { return engine.report ? engine.report->running : engine.own_requests; };
     for (auto const &engine : w.engines.all())
     {
-        bool const fits =
+        bool const eligible =
             engine.takes_work() && engine.role() == role &&
             engine.definition.service == service &&
             engine.definition.data_centre == w.identity.data_centre;
-        if (fits && (least == nullptr || work(engine) < work(*least)))
+        if (eligible && (chosen == nullptr || work(engine) < work(*chosen)))
         {
-            least = &engine;
+            chosen = &engine;
         }
     }
-    return least;
+    return chosen;
 }
 
-bool within_budget(world &w)
+bool within_change_budget(world &w)
 {
     auto &changes = w.plan.changes;
     while (!changes.empty() && w.now - changes.front() > hours(1))
@@ -253,7 +262,7 @@
     auto const budget =
         static_cast<std::size_t>(w.config.policy.role_changes_per_hour);
     return changes.size() < budget &&
-           (changes.empty() || w.now - changes.back() >= change_spacing);
+           (changes.empty() || w.now - changes.back() >= min_change_interval);
 }
 
 void change_role(world &w, fleet const &state, role_move move)
@@ -270,7 +279,7 @@
     if (w.hooks.order ? w.hooks.order(w, order) : request_order(w, order))
     {
         w.plan.changes.push_back(w.now);
-        w.plan.times_favoured = 0;
+        w.plan.consecutive_plans = 0;
     }
 }
 
@@ -279,11 +288,11 @@
     auto const best = best_move(w, state);
     if (!best || best->move != w.plan.favoured)
     {
-        w.plan.times_favoured = 0;
+        w.plan.consecutive_plans = 0;
         w.plan.favoured = best ? best->move : role_move{};
     }
-    if (!best || ++w.plan.times_favoured < plans_for_change ||
-        state.away >= max_away || !within_budget(w))
+    if (!best || ++w.plan.consecutive_plans < min_consecutive_plans ||
+        state.unavailable >= max_unavailable || !within_change_budget(w))
     {
         return;
     }
@@ -304,7 +313,8 @@
     {
         return;
     }
-    // A random part keeps the lease holders from acting at the same moment.
+    // Jitter keeps the lease holders of the data centres from acting at the
+    // same time.
     auto const jitter = from_seconds(w.random.uniform());
     w.plan.next_plan = w.now + plan_interval + jitter;
     average_demand(w);
@@ -314,7 +324,7 @@
     }
     for (auto const &[service, demand] : w.plan.demand)
     {
-        plan_service(w, describe(w, service, demand));
+        plan_service(w, fleet_of(w, service, demand));
     }
 }
 
--- a/src/plan_role_changes.hpp
+++ b/src/plan_role_changes.hpp
@@ -6,9 +6,10 @@
 
 struct world;
 
-/// Orders a change of an engine's role where the expected gain in goodput over
-/// the horizon exceeds the cost of the time away and the weight of a change.
-/// Only the holder of a data centre's lease plans for its engines.
+/// Orders a change of an engine's role when the expected gain in goodput over
+/// the planning horizon exceeds the goodput lost while the engine is
+/// unavailable by more than `role_change_weight`. Only the holder of a data
+/// centre's lease plans for its engines.
 void plan_role_changes(world &w);
 
 } // namespace agateledge
--- a/src/request_order.cpp
+++ b/src/request_order.cpp
@@ -19,7 +19,7 @@
            !meets_target(*engine.report, wanted);
 }
 
-bool is_free(world const &w, std::string const &engine)
+bool accepts_order(world const &w, std::string const &engine)
 {
     auto const found = w.orders.states.find(engine);
     return found == w.orders.states.end() ||
@@ -39,7 +39,7 @@
     }
     auto const index = w.engines.find(wanted.engine);
     if (!index || !may_change(w, w.engines.at(*index), wanted) ||
-        !is_free(w, wanted.engine))
+        !accepts_order(w, wanted.engine))
     {
         return false;
     }
--- a/src/role_capacity.cpp
+++ b/src/role_capacity.cpp
@@ -9,22 +9,23 @@
 namespace
 {
 
-/// Part of the smaller kind of work that a mixed engine does for free: prompt
-/// chunks and answers share the fixed part of a step. From the stand-in's step
-/// (12 ms of 69 ms of a chunk's step).
-constexpr double overlap = 0.0;
+/// Fraction of the smaller of the two loads, prefill and decode, that a mixed
+/// engine processes at no cost because both share the fixed cost of a step. In
+/// the stand-in the fixed cost is 12 ms of a 69 ms step with a prompt chunk.
+constexpr double shared_step_fraction = 0.0;
 
 } // namespace
 
 double utilisation(role_counts const &engines, role_rates const &rates,
                    token_demand const &demand)
 {
-    // Largest factor on the demand whose excess over the prefill and decode
-    // engines fits the mixed ones, by bisection.
+    // Finds by bisection the largest factor by which the demand can be
+    // multiplied so that the mixed engines can process what exceeds the
+    // capacity of the prefill and decode engines.
     double low = 0.0;
     double high = 64.0;
-    constexpr int rounds = 24;
-    for (int i = 0; i < rounds; ++i)
+    constexpr int bisection_steps = 24;
+    for (int i = 0; i < bisection_steps; ++i)
     {
         auto const factor = (low + high) / 2;
         auto const prompt_excess = std::max(
@@ -33,9 +34,10 @@
             0.0, factor * demand.output - engines.decode * rates.decode);
         auto const mixed = prompt_excess / rates.mixed_prefill +
                            output_excess / rates.mixed_decode;
-        auto const both = std::min(prompt_excess / rates.mixed_prefill,
-                                   output_excess / rates.mixed_decode);
-        bool const fits = mixed - overlap * both <= engines.mixed;
+        auto const shared = std::min(prompt_excess / rates.mixed_prefill,
+                                     output_excess / rates.mixed_decode);
+        bool const fits =
+            mixed - shared_step_fraction * shared <= engines.mixed;
         (fits ? low : high) = factor;
     }
     return 1 / std::max(low, 1.0 / 64);
@@ -43,11 +45,11 @@
 
 double expected_goodput(double utilisation)
 {
-    // Queues make the first requests late somewhat below full use; above it the
-    // share that can be served at all bounds the goodput.
-    constexpr double knee = 0.97;
+    // Queueing makes the first requests late somewhat below full utilisation;
+    // above it the fraction that can be served at all limits the goodput.
+    constexpr double midpoint = 0.97;
     constexpr double width = 0.035;
-    auto const in_time = 1 / (1 + std::exp((utilisation - knee) / width));
+    auto const in_time = 1 / (1 + std::exp((utilisation - midpoint) / width));
     return std::max(in_time, std::min(1.0, 1 / utilisation) * 0.5);
 }
 
--- a/src/role_capacity.hpp
+++ b/src/role_capacity.hpp
@@ -4,8 +4,8 @@
 namespace agateledge
 {
 
-/// Engines of one service by role; fractions stand for engines away for part
-/// of the time.
+/// Engines of one service by role; a fraction is an engine that is available
+/// for part of the time.
 struct role_counts
 {
     double mixed = 0;
@@ -13,7 +13,7 @@
     double decode = 0;
 };
 
-/// Tokens a second that one engine of a role computes when it is full.
+/// Tokens per second that one engine of a role processes at full load.
 struct role_rates
 {
     double prefill = 7500;
@@ -22,18 +22,18 @@
     double mixed_decode = 1300;
 };
 
-/// Tokens a second that arrive.
+/// Tokens per second of the arriving requests.
 struct token_demand
 {
     double prompt = 0;
     double output = 0;
 };
 
-/// @return the demand as a share of what the engines can serve
+/// @return the demand as a fraction of the capacity of the engines
 double utilisation(role_counts const &engines, role_rates const &rates,
                    token_demand const &demand);
 
-/// @return expected share of the requests that are answered in time at a
+/// @return expected fraction of requests that are answered in time at a given
 ///         utilisation
 double expected_goodput(double utilisation);
 
--- a/src/role_plan.hpp
+++ b/src/role_plan.hpp
@@ -11,12 +11,13 @@
 namespace agateledge
 {
 
-/// Mean demand of one service on this daemon.
+/// Demand for one service at this daemon: moving averages, and sums that have
+/// not been added to them.
 struct service_demand
 {
     double prompt_tokens_per_second = 0;
     double output_tokens_per_second = 0;
-    /// Goodput weight of the requests that arrive in a second.
+    /// Sum of the goodput weights of the requests that arrive per second.
     double weight_per_second = 0;
     /// Sums since `counted_at`.
     double prompt_tokens = 0;
@@ -24,7 +25,7 @@
     double weight = 0;
 };
 
-/// Change of one engine from a role to another.
+/// Change of one engine from one role to another.
 struct role_move
 {
     engine_role from = engine_role::mixed;
@@ -33,16 +34,17 @@
     auto operator<=>(role_move const &) const = default;
 };
 
-/// Memory of `plan_role_changes`.
+/// State that `plan_role_changes` keeps between ticks.
 struct role_plan
 {
     std::unordered_map<std::string, service_demand> demand;
     instant counted_at{};
     instant next_plan{};
-    /// Move that the last plans favoured, and how many in a row.
+    /// Move that the last plan favoured, and the number of consecutive plans
+    /// that favoured it.
     role_move favoured;
-    int times_favoured = 0;
-    /// Changes of the last hour.
+    int consecutive_plans = 0;
+    /// Times of the role changes ordered within the last hour.
     std::deque<instant> changes;
 };
 
--- a/test/correctness/order_model.cpp
+++ b/test/correctness/order_model.cpp
@@ -47,11 +47,11 @@
     { return deployment_.random().below(2) == 0; };
     deployment_.order_copies = [this](engine_order const &order)
     {
-        if (deployment_.now() >= slow_until_)
+        if (deployment_.now() >= slow_copies_until_)
         {
             return std::vector<duration>{duration(0)};
         }
-        // The deadline of an order ends its life in the network.
+        // A copy arrives before the deadline of the order.
         auto const longest =
             static_cast<std::uint64_t>(order.time_to_live.count());
         auto &random = deployment_.random();
@@ -81,7 +81,8 @@
     {
         return table_outcome::unavailable;
     }
-    if (deployment_.now() < lost_until_ && deployment_.random().below(2) == 0)
+    if (deployment_.now() < lost_answers_until_ &&
+        deployment_.random().below(2) == 0)
     {
         return call.is_write() ? table_outcome::unknown
                                : table_outcome::unavailable;
@@ -135,7 +136,7 @@
         request(engine, roles.at(static_cast<std::size_t>(step.amount % 3)));
         return;
     case order_event::pause:
-        // Half of the pauses stop the holder of the lease.
+        // At least half of the pauses stop the holder of the lease.
         pause(step.target < 3 ? static_cast<std::size_t>(step.target)
                               : holder(),
               length);
@@ -144,13 +145,13 @@
         outage_until_ = now + length;
         return;
     case order_event::lost_answers:
-        lost_until_ = now + length;
+        lost_answers_until_ = now + length;
         return;
     case order_event::crash:
         deployment_.engines().at(engine).model->crash(now);
         return;
     case order_event::slow_copies:
-        slow_until_ = now + length;
+        slow_copies_until_ = now + length;
         return;
     case order_event::partition:
         partition_until_ = now + length;
@@ -172,7 +173,8 @@
 void order_model::settle()
 {
     auto const now = deployment_.now();
-    outage_until_ = lost_until_ = slow_until_ = partition_until_ = now;
+    outage_until_ = lost_answers_until_ = slow_copies_until_ =
+        partition_until_ = now;
     for (auto &daemon : deployment_.daemons())
     {
         daemon.paused = false;
@@ -180,7 +182,7 @@
     advance(seconds(45));
     for (auto const &[engine, view] : views_)
     {
-        if (view.version != 0 && view.last.state == order_state_name::open)
+        if (view.version != 0 && view.last.state == order_record_state::open)
         {
             violations_.push_back("order " + view.last.order.id +
                                   " is still open");
@@ -215,17 +217,17 @@
     auto const fencing = lease_row_from_text(fence.value).fencing.value();
     if (fencing < highest_fencing_)
     {
-        violations_.emplace_back("a fencing number went back");
+        violations_.emplace_back("the fencing number decreased");
     }
     totals_.takeovers += fencing != highest_fencing_ ? 1 : 0;
     highest_fencing_ = fencing;
 }
 
-/// An order row changes to another order only after its order was resolved.
+/// An order may be replaced in its row only after it was resolved.
 void order_model::check_row_change(engine_view &view, order_record const &next)
 {
     bool const was_open =
-        view.version != 0 && view.last.state == order_state_name::open;
+        view.version != 0 && view.last.state == order_record_state::open;
     if (was_open && next.order.id != view.last.order.id)
     {
         violations_.push_back("order " + next.order.id + " replaced " +
@@ -234,17 +236,17 @@
     if (next.order.fencing < view.last.order.fencing)
     {
         violations_.push_back("order " + next.order.id +
-                              " was recorded with an old fencing number");
+                              " was recorded with an outdated fencing number");
     }
     bool const adopted =
         was_open && next.order.fencing > view.last.order.fencing;
     totals_.adoptions += adopted ? 1 : 0;
-    totals_.lost += next.state == order_state_name::lost ? 1 : 0;
+    totals_.lost += next.state == order_record_state::lost ? 1 : 0;
     view.last = next;
 }
 
-/// Only the recorded order has an effect; on an engine that checks fencing
-/// numbers, only while it is open.
+/// Only the recorded order may take effect; on an engine that checks fencing
+/// numbers, only while the order is open.
 void order_model::check_effects()
 {
     for (auto const &[name, engine] : deployment_.engines())
@@ -258,12 +260,13 @@
             bool const recorded = view.version != 0 &&
                                   view.last.order.id == order.id &&
                                   view.last.order.role == order.role;
-            if (!recorded ||
-                (checks_fencing_ && view.last.state != order_state_name::open))
+            if (!recorded || (checks_fencing_ &&
+                              view.last.state != order_record_state::open))
             {
-                violations_.push_back("order " + order.id +
-                                      " had an effect, recorded is " +
-                                      view.last.order.id);
+                violations_.push_back(
+                    "order " + order.id +
+                    " took effect, but the recorded order is " +
+                    view.last.order.id);
             }
         }
     }
--- a/test/correctness/order_model.hpp
+++ b/test/correctness/order_model.hpp
@@ -32,7 +32,8 @@
     int amount = 0;
 };
 
-/// What happened in a run, to show that a schedule reaches the cases.
+/// Event counts of a run; they show that the schedules reach the intended
+/// cases.
 struct order_model_totals
 {
     int effects = 0;
@@ -43,8 +44,8 @@
 };
 
 /// Runs three daemons and two engines through a schedule of faults and checks
-/// them against an oracle that sees the table service and what reaches the
-/// engines.
+/// them against an oracle that observes the table service and the orders that
+/// take effect at the engines.
 class order_model
 {
 public:
@@ -56,10 +57,11 @@
 
     void run(std::vector<order_model_step> const &steps);
 
-    /// Ends all faults and lets the open orders finish.
+    /// Ends all faults, runs until open orders have had time to finish, and
+    /// records a violation for each order that is still open.
     void settle();
 
-    /// @return the violations that the oracle saw
+    /// @return the violations that the oracle found
     std::vector<std::string> const &violations() const { return violations_; }
 
     order_model_totals const &totals() const { return totals_; }
@@ -86,8 +88,8 @@
     virtual_deployment deployment_;
     bool checks_fencing_;
     instant outage_until_{};
-    instant lost_until_{};
-    instant slow_until_{};
+    instant lost_answers_until_{};
+    instant slow_copies_until_{};
     instant partition_until_{};
     std::uint64_t highest_fencing_ = 0;
     std::map<std::string, engine_view> views_;
