--- a/src/backoff_delay.cpp
+++ b/src/backoff_delay.cpp
@@ -6,12 +6,12 @@
 {
 
 duration backoff_delay(random_source &random, int failures, duration base,
-                       duration most)
+                       duration max_delay)
 {
     constexpr int max_doublings = 16;
     auto const doublings = std::clamp(failures - 1, 0, max_doublings);
-    auto const longest = std::min(base * (1 << doublings), most);
-    return from_seconds(to_seconds(longest) * (0.5 + random.uniform() / 2));
+    auto const upper = std::min(base * (1 << doublings), max_delay);
+    return from_seconds(to_seconds(upper) * (0.5 + random.uniform() / 2));
 }
 
 } // namespace agateledge
--- a/src/backoff_delay.hpp
+++ b/src/backoff_delay.hpp
@@ -7,16 +7,16 @@
 namespace agateledge
 {
 
-/// Computes the wait before the next try. It doubles with each failure up to
-/// `most`, and a random half of it is taken off, so that daemons that failed
-/// together do not retry together.
+/// Computes the delay before the next attempt. It doubles with each failure up
+/// to `max_delay`, and is reduced by a random part of at most half of it, so
+/// that daemons that failed together do not retry together.
 ///
-/// @param random random source of the daemon
-/// @param failures failures in a row, 1 after the first one
-/// @param base wait after the first failure, before the random part
-/// @param most longest wait
+/// @param random random number generator of the daemon
+/// @param failures consecutive failures, 1 after the first one
+/// @param base delay after the first failure, before the reduction
+/// @param max_delay upper bound of the delay
 duration backoff_delay(random_source &random, int failures, duration base,
-                       duration most);
+                       duration max_delay);
 
 } // namespace agateledge
 
--- a/src/call_table.hpp
+++ b/src/call_table.hpp
@@ -12,8 +12,8 @@
 /// Sends one operation to the table service.
 ///
 /// @param w the daemon
-/// @param owner system that reads the reply
-/// @param call the operation; its number and owner are filled in
+/// @param owner part of the daemon that handles the reply
+/// @param call the operation; its number and owner are set here
 /// @return the number under which the reply arrives in `inbox::table_replies`
 operation_number call_table(world &w, table_owner owner, table_call call);
 
--- a/src/heartbeat.hpp
+++ b/src/heartbeat.hpp
@@ -22,7 +22,7 @@
     auto operator<=>(engine_share const &) const = default;
 };
 
-/// Requests a second that one daemon sees from one caller in one class.
+/// Requests per second that one daemon receives from one caller in one class.
 struct caller_demand
 {
     std::string caller;
@@ -44,20 +44,22 @@
     auto operator<=>(engine_change const &) const = default;
 };
 
-/// State that daemons send each other.
+/// State that daemons exchange.
 struct heartbeat
 {
     std::string from;
     incarnation_number incarnation;
     std::string data_centre;
     std::string address;
-    /// Grows with each heartbeat of an incarnation; older ones are dropped.
+    /// Increases with each heartbeat of an incarnation; a heartbeat with a
+    /// lower number than the last one is dropped.
     std::uint64_t sequence = 0;
-    /// Sequence of the heartbeat that this one replies to; 0 for none.
+    /// Sequence number of the heartbeat that this one replies to; 0 for none.
     std::uint64_t answers = 0;
     revision_number revision;
-    /// Time since the sender, or a daemon that it heard from, read the current
-    /// revision in the table service, in microseconds; negative for never.
+    /// Time since the sender, or a daemon whose confirmation it received, read
+    /// the current revision in the table service, in microseconds; negative for
+    /// never.
     std::int64_t revision_age_us = -1;
     bool draining = false;
     std::vector<engine_share> shares;
--- a/src/membership_client.cpp
+++ b/src/membership_client.cpp
@@ -49,10 +49,11 @@
     request.address = address_;
     request.path = "/v1/hosts";
     request.total_timeout = call_timeout;
-    http_.send(request, [this](http_reply const &reply) { take(reply); });
+    http_.send(request,
+               [this](http_reply const &reply) { handle_reply(reply); });
 }
 
-void membership_client::take(http_reply const &reply)
+void membership_client::handle_reply(http_reply const &reply)
 {
     constexpr int ok = 200;
     if (reply.outcome == http_outcome::answered && reply.status == ok)
@@ -62,19 +63,20 @@
         {
             failures_ = 0;
             loop_.input().membership_reports.push_back(*std::move(report));
-            poll_in(poll_interval);
+            poll_after(poll_interval);
             return;
         }
     }
     ++failures_;
-    poll_in(backoff_delay(random_, failures_, poll_interval, max_backoff));
+    poll_after(backoff_delay(random_, failures_, poll_interval, max_backoff));
 }
 
-void membership_client::poll_in(duration wait)
+void membership_client::poll_after(duration delay)
 {
-    auto const wait_ms = std::chrono::duration_cast<milliseconds>(wait).count();
+    auto const delay_ms =
+        std::chrono::duration_cast<milliseconds>(delay).count();
     timer_ = g_timeout_add(
-        static_cast<guint>(wait_ms),
+        static_cast<guint>(delay_ms),
         [](gpointer self) -> gboolean
         {
             auto *client = static_cast<membership_client *>(self);
--- a/src/peer_table.hpp
+++ b/src/peer_table.hpp
@@ -14,19 +14,20 @@
 namespace agateledge
 {
 
-/// Bytes a second for the heartbeats that one daemon sends and their answers. A
-/// daemon takes part in as many calls of others, so that its whole traffic is
-/// twice this; the budget for all control is 8 KB/s.
+/// Bytes per second for the heartbeats that one daemon sends and their answers.
+/// A daemon also answers as many heartbeats of its peers, so that its total
+/// heartbeat traffic is twice this. The budget for all control traffic is 8
+/// KB/s.
 inline constexpr double heartbeat_bytes_per_second = 1750;
 inline constexpr double heartbeat_burst_bytes = 8000;
 
 enum class peer_condition
 {
-    /// Heard from within the timeout.
+    /// A heartbeat was received within the time-out.
     live,
-    /// Not heard from, or its last call failed.
+    /// No heartbeat was received within the time-out, or the last call failed.
     suspect,
-    /// Listed as leaving, or draining by its own word.
+    /// Listed as leaving by the platform, or reported by itself as draining.
     leaving,
 };
 
@@ -37,18 +38,18 @@
     std::string address;
     std::string data_centre;
     incarnation_number incarnation;
-    /// Sequence of the last heartbeat of this incarnation.
+    /// Sequence number of the last heartbeat of this incarnation.
     std::uint64_t sequence = 0;
     peer_condition condition = peer_condition::suspect;
     std::optional<instant> heard_at;
     std::optional<instant> called_at;
-    /// Sequence of the heartbeat that was sent at `called_at`.
+    /// Sequence number of the heartbeat that was sent at `called_at`.
     std::uint64_t called_sequence = 0;
-    /// True while the last call failed and nothing was heard since.
+    /// True when the last call failed and no heartbeat was received since.
     bool failed = false;
     bool host_leaving = false;
     bool draining = false;
-    /// True for a peer of the settings or of the platform's current list.
+    /// True for a peer in the settings or in the platform's current list.
     bool listed = false;
     revision_number revision;
     /// Open work that the peer reported, for engines that this daemon knows.
@@ -61,16 +62,15 @@
 {
 public:
     std::map<std::string, peer_state> states;
-    /// Demand that this daemon sees, sent with its heartbeats; the limits fill
-    /// it.
+    /// Demand at this daemon, sent with its heartbeats; set by `limit_callers`.
     std::vector<caller_demand> own_demand;
     std::uint64_t last_sequence = 0;
     instant next_round{};
-    /// Bytes that this daemon may spend on its calls to peers.
-    token_bucket call_bytes{heartbeat_bytes_per_second, heartbeat_burst_bytes};
+    /// Byte budget of the calls to peers and their answers.
+    token_bucket call_budget{heartbeat_bytes_per_second, heartbeat_burst_bytes};
     /// Bytes of the last call and its answer.
-    double last_call_bytes = 1000;
-    /// Live daemons with this one.
+    double last_exchange_bytes = 1000;
+    /// Live daemons, including this one.
     int live_daemons = 1;
 };
 
--- a/src/rendezvous_rank.cpp
+++ b/src/rendezvous_rank.cpp
@@ -20,7 +20,7 @@
 
 std::size_t rendezvous_rank(world const &w, std::string_view duty)
 {
-    auto const own = rendezvous_weight(duty, w.identity.name);
+    auto const local_weight = rendezvous_weight(duty, w.identity.name);
     auto const higher = std::ranges::count_if(
         w.peers.states,
         [&](auto const &item)
@@ -28,7 +28,7 @@
             auto const &peer = item.second;
             return peer.data_centre == w.identity.data_centre &&
                    peer.condition == peer_condition::live &&
-                   rendezvous_weight(duty, peer.name) > own;
+                   rendezvous_weight(duty, peer.name) > local_weight;
         });
     return static_cast<std::size_t>(higher);
 }
--- a/src/rendezvous_rank.hpp
+++ b/src/rendezvous_rank.hpp
@@ -10,12 +10,13 @@
 
 struct world;
 
-/// @return weight of a daemon for a duty; the highest one has it
+/// @return weight of a daemon for a duty; the daemon with the highest weight is
+///         responsible for it
 std::uint64_t rendezvous_weight(std::string_view duty, std::string_view daemon);
 
 /// Ranks the live daemons of this daemon's data centre for one duty by
-/// rendezvous hashing, so that daemons agree on the order without messages and
-/// a change of membership moves few duties.
+/// rendezvous hashing, so that daemons with the same membership compute the
+/// same order without messages and a change of membership moves few duties.
 ///
 /// @param w the daemon
 /// @param duty name of the duty
--- a/src/stop_daemon.cpp
+++ b/src/stop_daemon.cpp
@@ -16,27 +16,29 @@
 
 constexpr duration check_interval = milliseconds(50);
 
-/// @return true when the caller can take the request to another daemon now
+/// @return true when the caller can resume or repeat the request at another
+///         daemon now
 bool can_move(world const &w, request_state const &request)
 {
-    bool const plain = !request.arrival.service.empty();
-    bool const answered_soon = request.attempt.has_value();
-    return plain ? !answered_soon && !may_have_run(w, request.arrival.request)
-                 : true;
+    bool const is_service_call = !request.arrival.service.empty();
+    bool const attempt_open = request.attempt.has_value();
+    return is_service_call
+               ? !attempt_open && !may_have_run(w, request.arrival.request)
+               : true;
 }
 
-void hand_over_requests(world &w)
+void refuse_open_requests(world &w)
 {
-    std::vector<request_number> left;
+    std::vector<request_number> movable;
     for (auto const &[number, request] : w.requests.all())
     {
         if (can_move(w, request))
         {
-            left.push_back(number);
+            movable.push_back(number);
         }
     }
-    std::ranges::sort(left);
-    std::ranges::for_each(left,
+    std::ranges::sort(movable);
+    std::ranges::for_each(movable,
                           [&w](request_number number)
                           {
                               refuse_request(w, number,
@@ -62,12 +64,12 @@
     auto const timeout = w.config.policy.drain_timeout;
     if (w.now - *w.draining_since >= timeout)
     {
-        hand_over_requests(w);
+        refuse_open_requests(w);
     }
-    bool const stored =
+    bool const claims_done =
         w.claims.size() == 0 || w.now - *w.draining_since >= 2 * timeout;
     w.out.stop_ready =
-        (w.requests.size() == 0 && stored && leases_released(w)) ||
+        (w.requests.size() == 0 && claims_done && leases_released(w)) ||
         w.faults.skip_drain;
 }
 
--- a/src/tick.cpp
+++ b/src/tick.cpp
@@ -29,7 +29,7 @@
 
 void tick(world &w, instant now)
 {
-    internal_assert(now >= w.now, "time went back from ",
+    internal_assert(now >= w.now, "clock went back from ",
                     w.now.time_since_epoch().count(), " to ",
                     now.time_since_epoch().count());
     w.now = now;
--- a/src/tick.hpp
+++ b/src/tick.hpp
@@ -8,13 +8,12 @@
 
 struct world;
 
-/// Runs the systems once over the input in `world::in`, which is empty
-/// afterwards. The output is in `world::out`; the caller carries it out and
-/// clears it. The caller ticks again when there is new input, and at
-/// `world::next_wake` at the latest.
+/// Runs all systems once on the input in `world::in` and clears it. The output
+/// is in `world::out`; the caller executes it and clears it. The caller ticks
+/// again when there is new input, and at `world::next_wake` at the latest.
 ///
 /// @param w the daemon
-/// @param now time of the daemon's clock; never goes back
+/// @param now time of the daemon's clock; must not decrease
 void tick(world &w, instant now);
 
 } // namespace agateledge
--- a/src/track_peers.cpp
+++ b/src/track_peers.cpp
@@ -20,25 +20,26 @@
 {
 
 constexpr duration round_interval = milliseconds(500);
-/// Bytes of one exchange without its lists: headers and envelope of the call
-/// and of its answer.
+/// Bytes of a call and its answer without their lists: headers and envelopes.
 constexpr std::size_t exchange_bytes = 900;
+/// Bytes of one list entry.
 constexpr std::size_t share_bytes = 90;
 constexpr std::size_t demand_bytes = 80;
 constexpr std::size_t change_bytes = 60;
-/// Daemons of another data centre that one daemon calls. Every daemon has
-/// partners of its own, so that news crosses by many ways.
-constexpr std::size_t partners_elsewhere = 2;
-constexpr duration shortest_timeout = milliseconds(2500);
-/// Rotations of the heartbeats that a live peer may miss.
-constexpr int missed_rotations = 3;
-/// Peers of the own data centre are called this many times as often.
-constexpr int own_data_centre_weight = 4;
+/// Daemons of each other data centre that one daemon calls. Each daemon has a
+/// different set of partners, so that updates reach another data centre over
+/// several paths.
+constexpr std::size_t partners_per_remote_data_centre = 2;
+constexpr duration min_peer_timeout = milliseconds(2500);
+/// Rotations of heartbeats through all peers that a live peer may miss.
+constexpr int max_missed_rotations = 3;
+/// Factor by which peers of the local data centre are called more often.
+constexpr int local_data_centre_weight = 4;
 /// Pause between calls to a peer whose last call failed.
 constexpr duration failed_call_interval = seconds(2);
-/// Time after which a silent peer that is not listed is forgotten.
-constexpr duration forget_after = seconds(60);
-/// Shares in one heartbeat; bounds its size in a large fleet.
+/// Time after which a silent peer that is not listed is removed.
+constexpr duration removal_timeout = seconds(60);
+/// Shares in one heartbeat; limits its size in a large fleet.
 constexpr std::size_t max_shares = 32;
 
 /// @return bytes of a call with `message` and of an answer of the same size
@@ -54,11 +55,11 @@
 {
     auto const rotation =
         from_seconds(static_cast<double>(w.peers.states.size()) *
-                     w.peers.last_call_bytes / heartbeat_bytes_per_second);
-    return std::max(shortest_timeout, rotation * missed_rotations);
+                     w.peers.last_exchange_bytes / heartbeat_bytes_per_second);
+    return std::max(min_peer_timeout, rotation * max_missed_rotations);
 }
 
-void count_shares(world &w, peer_state const &peer, int sign)
+void add_shares(world &w, peer_state const &peer, int sign)
 {
     for (auto const &share : peer.shares)
     {
@@ -72,12 +73,12 @@
 void replace_shares(world &w, peer_state &peer,
                     std::vector<engine_share> const &shares)
 {
-    count_shares(w, peer, -1);
+    add_shares(w, peer, -1);
     peer.shares.clear();
     std::ranges::copy_if(shares, std::back_inserter(peer.shares),
                          [&w](engine_share const &share)
                          { return w.engines.find(share.engine).has_value(); });
-    count_shares(w, peer, 1);
+    add_shares(w, peer, 1);
 }
 
 peer_condition condition_of(peer_state const &peer, instant now,
@@ -87,9 +88,9 @@
     {
         return peer_condition::leaving;
     }
-    bool const heard = peer.heard_at && now - *peer.heard_at <= timeout;
-    return heard && !peer.failed ? peer_condition::live
-                                 : peer_condition::suspect;
+    bool const recent = peer.heard_at && now - *peer.heard_at <= timeout;
+    return recent && !peer.failed ? peer_condition::live
+                                  : peer_condition::suspect;
 }
 
 bool is_silent(world const &w, peer_state const &peer, duration limit)
@@ -97,8 +98,9 @@
     return !peer.heard_at || w.now - *peer.heard_at > limit;
 }
 
-/// Updates the conditions, and drops what silent peers reported.
-void judge_peers(world &w)
+/// Updates the conditions of the peers, and drops the load and demand that
+/// silent peers reported.
+void update_conditions(world &w)
 {
     auto const timeout = peer_timeout(w);
     int live = 1;
@@ -115,23 +117,23 @@
     w.peers.live_daemons = live;
 }
 
-void forget_peers(world &w)
+void remove_expired_peers(world &w)
 {
     std::erase_if(w.peers.states,
                   [&w](auto const &item)
                   {
                       auto const &peer = item.second;
                       return !peer.listed && peer.shares.empty() &&
-                             is_silent(w, peer, forget_after);
+                             is_silent(w, peer, removal_timeout);
                   });
 }
 
-void take_notice(world &w, engine_change const &change)
+void apply_notice(world &w, engine_change const &change)
 {
     auto const index = w.engines.find(change.engine);
-    auto const heard = w.now - duration(change.age_us);
-    bool const own = w.orders.active.contains(change.engine);
-    if (!index || own || w.now - heard >= change_notice_lifetime)
+    auto const stated_at = w.now - duration(change.age_us);
+    bool const changed_here = w.orders.active.contains(change.engine);
+    if (!index || changed_here || w.now - stated_at >= change_notice_lifetime)
     {
         return;
     }
@@ -143,16 +145,17 @@
     auto &notice = w.orders.notices.try_emplace(change.engine).first->second;
     if (notice.generation != change.generation || notice.heard == instant())
     {
-        notice = {change.generation, w.now, heard, false};
+        notice = {change.generation, w.now, stated_at, false};
     }
-    notice.heard = std::max(notice.heard, heard);
+    notice.heard = std::max(notice.heard, stated_at);
     engine.changing = true;
 }
 
-/// Counts the age of a confirmation from before this daemon's own call, so that
-/// a message that waited while a process was paused confirms nothing.
-void take_confirmation(world &w, peer_state const &peer,
-                       heartbeat const &message)
+/// Measures the age of a confirmation from the time of this daemon's call, so
+/// that a message that was delayed while a process was paused does not count as
+/// a recent confirmation.
+void apply_confirmation(world &w, peer_state const &peer,
+                        heartbeat const &message)
 {
     if (message.answers != 0 && message.answers == peer.called_sequence &&
         message.revision == w.config.revision && message.revision_age_us >= 0)
@@ -162,7 +165,8 @@
     }
 }
 
-/// @return false for a message that is older than the last one of its sender
+/// @return false for a message of this daemon, or one that is not newer than
+///         the last one of its sender
 bool take_heartbeat(world &w, heartbeat const &message)
 {
     if (message.from == w.identity.name)
@@ -187,13 +191,13 @@
     peer.revision = message.revision;
     peer.demand = message.demand;
     replace_shares(w, peer, message.shares);
-    take_confirmation(w, peer, message);
+    apply_confirmation(w, peer, message);
     std::ranges::for_each(message.changes, [&w](engine_change const &change)
-                          { take_notice(w, change); });
+                          { apply_notice(w, change); });
     return true;
 }
 
-void take_failure(world &w, peer_failure const &failure)
+void handle_failure(world &w, peer_failure const &failure)
 {
     auto const found = w.peers.states.find(failure.peer);
     if (found != w.peers.states.end())
@@ -202,7 +206,7 @@
     }
 }
 
-void list_peer(world &w, host_entry const &host)
+void apply_host_entry(world &w, host_entry const &host)
 {
     if (host.name == w.identity.name)
     {
@@ -221,8 +225,8 @@
     return address.substr(0, address.rfind(':'));
 }
 
-/// A host is named like the engine, has its address, or runs it under another
-/// port.
+/// Marks the engines or endpoints on hosts that are leaving. A host matches by
+/// name, by address, or by address without the port.
 template <class Table>
 void mark_leaving(Table &table, std::set<std::string> const &leaving)
 {
@@ -235,7 +239,7 @@
     }
 }
 
-void take_membership(world &w, membership_report const &report)
+void apply_membership(world &w, membership_report const &report)
 {
     for (auto &[name, peer] : w.peers.states)
     {
@@ -247,7 +251,7 @@
     {
         if (host.entry)
         {
-            list_peer(w, host);
+            apply_host_entry(w, host);
         }
         else if (host.leaving)
         {
@@ -260,16 +264,17 @@
     mark_leaving(w.endpoints, leaving);
 }
 
-/// @return the time since the last call, longer for peers that are called more
-///         often
+/// @return the time since the last call, multiplied for peers of the local data
+///         centre, which are called more often
 duration call_age(world const &w, peer_state const &peer)
 {
     auto const age = w.now - peer.called_at.value_or(instant(-hours(1)));
-    bool const own = peer.data_centre == w.identity.data_centre;
-    return own ? age * own_data_centre_weight : age;
+    bool const local = peer.data_centre == w.identity.data_centre;
+    return local ? age * local_data_centre_weight : age;
 }
 
-/// Rank of a peer among those of its data centre, for this daemon alone.
+/// @return rank of a peer among those of its data centre; differs between
+///         daemons
 std::uint64_t partner_rank(world const &w, peer_state const &peer)
 {
     auto const text = w.identity.name + "/" + peer.name;
@@ -287,9 +292,10 @@
     std::set<std::string> partners;
     for (auto const &[data_centre, peers] : ranked)
     {
-        bool const own = data_centre == w.identity.data_centre;
+        bool const local = data_centre == w.identity.data_centre;
         auto const count =
-            own ? peers.size() : std::min(peers.size(), partners_elsewhere);
+            local ? peers.size()
+                  : std::min(peers.size(), partners_per_remote_data_centre);
         std::transform(peers.begin(),
                        std::next(peers.begin(), static_cast<long>(count)),
                        std::inserter(partners, partners.end()),
@@ -308,9 +314,9 @@
         {
             continue;
         }
-        bool const waits = peer.failed && peer.called_at &&
-                           w.now - *peer.called_at < failed_call_interval;
-        if (!waits && !peer.address.empty())
+        bool const backing_off = peer.failed && peer.called_at &&
+                                 w.now - *peer.called_at < failed_call_interval;
+        if (!backing_off && !peer.address.empty())
         {
             chosen.push_back(&peer);
         }
@@ -324,17 +330,17 @@
 void begin_round(world &w)
 {
     w.peers.next_round = w.now + round_interval;
-    forget_peers(w);
+    remove_expired_peers(w);
     auto const chosen = peers_to_call(w);
     if (chosen.empty())
     {
         return;
     }
     auto const message = own_heartbeat(w, w.now);
-    w.peers.last_call_bytes = bytes_of(message);
+    w.peers.last_exchange_bytes = bytes_of(message);
     for (auto *peer : chosen)
     {
-        if (!w.peers.call_bytes.take(w.now, w.peers.last_call_bytes))
+        if (!w.peers.call_budget.take(w.now, w.peers.last_exchange_bytes))
         {
             return;
         }
@@ -344,7 +350,7 @@
     }
 }
 
-std::vector<engine_share> own_shares(world const &w)
+std::vector<engine_share> local_shares(world const &w)
 {
     std::vector<engine_share> shares;
     for (auto const &engine : w.engines.all())
@@ -400,7 +406,7 @@
         message.revision_age_us = (now - *w.config_sync.confirmed_at).count();
     }
     message.draining = w.draining;
-    message.shares = own_shares(w);
+    message.shares = local_shares(w);
     message.demand = w.peers.own_demand;
     message.changes = known_changes(w, now);
     return message;
@@ -429,17 +435,17 @@
 {
     for (auto const &report : w.in.membership_reports)
     {
-        take_membership(w, report);
+        apply_membership(w, report);
     }
     std::ranges::for_each(w.in.peer_failures, [&w](peer_failure const &failure)
-                          { take_failure(w, failure); });
+                          { handle_failure(w, failure); });
     std::erase_if(w.in.heartbeats, [&w](heartbeat const &message)
                   { return !take_heartbeat(w, message); });
     bool const round_due = w.now >= w.peers.next_round;
     if (round_due || !w.in.heartbeats.empty() || !w.in.peer_failures.empty() ||
         !w.in.membership_reports.empty())
     {
-        judge_peers(w);
+        update_conditions(w);
     }
     if (round_due)
     {
