--- a/test/correctness/booking_model_test.cpp
+++ b/test/correctness/booking_model_test.cpp
@@ -1,5 +1,5 @@
 // Guards against a booking that runs twice, that runs although it was refused
-// as not run, or whose stored outcome differs from what happened, under any
+// as not run, or whose stored outcome differs from the actual one, under any
 // sequence of retries, store faults, lost answers and daemon restarts.
 #include "example_deployment.hpp"
 #include "fixed_seed_check.hpp"
@@ -13,8 +13,8 @@
 
 using namespace agateledge;
 
-/// Runs bookings of a few keys against two daemons and an oracle that knows the
-/// effects of each request.
+/// Runs bookings of three keys against two daemons and checks them against an
+/// oracle that records the effects of each request.
 class booking_model
 {
 public:
@@ -39,9 +39,9 @@
         deployment_.late_write = [] { return milliseconds(120); };
         deployment_.on_service_effect =
             [this](std::size_t, request_number request, service_call const &)
-        { note_effect(request); };
+        { record_effect(request); };
         deployment_.on_reply = [this](std::size_t, caller_reply const &reply)
-        { note_reply(reply); };
+        { check_reply(reply); };
         advance(milliseconds(50));
     }
 
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Ends all faults; every request of a living daemon must then end.
+    /// Ends all faults and checks that every open request and claim ends.
     void finish()
     {
         store_mode_ = 0;
         lose_answers_ = false;
         deployment_.closed_endpoints.clear();
         advance(seconds(60));
-        for (auto const &[number, item] : tries_)
+        for (auto const &[number, item] : requests_)
         {
             RC_ASSERT(item.ended);
         }
@@ -94,7 +94,7 @@
     }
 
 private:
-    struct booking_try
+    struct booking_request
     {
         int key = 0;
         std::size_t daemon = 0;
@@ -119,7 +119,7 @@
     void book(std::size_t daemon, int key)
     {
         auto const number = request_number(++last_request_);
-        tries_[number] = {key, daemon};
+        requests_[number] = {key, daemon};
         request_arrival arrival;
         arrival.request = number;
         arrival.service = example_.booking_service;
@@ -133,7 +133,7 @@
     void restart(std::size_t daemon)
     {
         deployment_.kill(daemon);
-        for (auto &[number, item] : tries_)
+        for (auto &[number, item] : requests_)
         {
             item.ended |= item.daemon == daemon;
         }
@@ -148,17 +148,17 @@
         }
     }
 
-    void note_effect(request_number request)
+    void record_effect(request_number request)
     {
-        auto &item = tries_.at(request);
+        auto &item = requests_.at(request);
         RC_ASSERT(!item.not_run);
         RC_ASSERT(++effects_[item.key] == 1);
         item.had_effect = true;
     }
 
-    void note_reply(caller_reply const &reply)
+    void check_reply(caller_reply const &reply)
     {
-        auto &item = tries_.at(reply.request);
+        auto &item = requests_.at(reply.request);
         RC_ASSERT(!item.ended);
         item.ended = true;
         bool const refused = reply.kind == caller_reply_kind::refused;
@@ -174,7 +174,7 @@
 
     example_deployment example_;
     virtual_deployment deployment_;
-    std::map<request_number, booking_try> tries_;
+    std::map<request_number, booking_request> requests_;
     std::map<int, int> effects_;
     std::uint64_t last_request_ = 0;
     std::uint64_t operations_ = 0;
--- a/test/correctness/drain_before_order_test.cpp
+++ b/test/correctness/drain_before_order_test.cpp
@@ -1,6 +1,6 @@
-// Guards against a role change that interrupts an answer: the engine must be
-// free of work before its order is sent, the work of other daemons included,
-// and work that outlasts the drain must be answered whole by another engine.
+// Guards against a role change that interrupts an answer: before its order is
+// sent, an engine must have no open work of any daemon, and answers that
+// outlast the drain must be completed by another engine.
 #include "renew_leases.hpp"
 #include "request_order.hpp"
 #include "standin_text.hpp"
@@ -40,8 +40,8 @@
     return config;
 }
 
-/// Two daemons, each with one long answer under way, and an order for the
-/// engine of one of them.
+/// Two daemons and two engines with long answers in progress, and an order for
+/// one of the engines.
 class draining_deployment
 {
 public:
@@ -81,7 +81,7 @@
         deployment.submit(daemon, arrival);
     }
 
-    /// Begins two answers and orders a change of `engine-0`.
+    /// Starts four answers and requests a role change of `engine-0`.
     void begin()
     {
         for (std::uint64_t number = 1; number <= 4; ++number)
@@ -94,13 +94,13 @@
         wanted.role = engine_role::prefill;
         for (auto &daemon : deployment.daemons())
         {
-            taken += request_order(*daemon.state, wanted) ? 1 : 0;
+            accepted_requests += request_order(*daemon.state, wanted) ? 1 : 0;
         }
         work_at_request =
             deployment.engines().at("engine-0").model->load().running;
     }
 
-    void expect_whole_answers()
+    void expect_complete_answers()
     {
         EXPECT_EQ(finished, 4);
         for (auto const &[number, text] : texts)
@@ -112,7 +112,7 @@
     virtual_deployment deployment;
     std::map<std::uint64_t, std::string> texts;
     int finished = 0;
-    int taken = 0;
+    int accepted_requests = 0;
     int work_at_request = 0;
     int work_at_order = -1;
     instant ordered_at{};
@@ -122,11 +122,11 @@
 {
     draining_deployment run(seconds(30));
     run.begin();
-    EXPECT_EQ(run.taken, 1);
+    EXPECT_EQ(run.accepted_requests, 1);
     EXPECT_GT(run.work_at_request, 0);
     run.run(seconds(20));
     EXPECT_EQ(run.work_at_order, 0);
-    run.expect_whole_answers();
+    run.expect_complete_answers();
     EXPECT_EQ(run.deployment.engines().at("engine-0").model->load().role,
               engine_role::prefill);
 }
@@ -140,7 +140,7 @@
     EXPECT_EQ(run.work_at_order, 0);
     EXPECT_LT(run.finished, 4);
     run.run(seconds(20));
-    run.expect_whole_answers();
+    run.expect_complete_answers();
 }
 
 TEST(drain_before_order, no_order_waits_for_work_when_the_drain_is_skipped)
--- a/test/correctness/membership_test.cpp
+++ b/test/correctness/membership_test.cpp
@@ -1,6 +1,6 @@
-// Guards against a daemon that keeps a wrong picture of its peers: a killed or
-// partitioned peer that counts as live, an old heartbeat that is believed, the
-// load of a silent peer that stays counted, and work for a leaving host.
+// Guards against a daemon with outdated state of its peers: a killed or
+// partitioned peer that counts as live, an old heartbeat that is applied, the
+// load of a silent peer that stays counted, and work sent to a leaving host.
 #include "apply_configuration.hpp"
 #include "tick.hpp"
 #include "track_peers.hpp"
@@ -116,19 +116,19 @@
 }
 
 // Guards against heartbeats that exceed the control budget of 8 KB/s in a large
-// fleet, and against a peer of the own data centre that is never called.
+// fleet, and against a peer of the local data centre that is never called.
 TEST_F(one_daemon, calls_every_near_peer_within_the_control_budget)
 {
-    constexpr int near = 34;
-    constexpr int run_seconds = 60;
-    for (int i = 1; i <= 2 * near; ++i)
+    constexpr int local_peers = 34;
+    constexpr int duration_seconds = 60;
+    for (int i = 1; i <= 2 * local_peers; ++i)
     {
         auto const name = "daemon-" + std::to_string(i);
-        add_peer(state, name, name, i <= near ? "rennes-a" : "brest");
+        add_peer(state, name, name, i <= local_peers ? "rennes-a" : "brest");
     }
     std::set<std::string> called;
     std::size_t calls = 0;
-    for (int round = 0; round < 2 * run_seconds; ++round)
+    for (int round = 0; round < 2 * duration_seconds; ++round)
     {
         run(milliseconds(500));
         calls += state.out.peer_calls.size();
@@ -137,15 +137,15 @@
             called.insert(call.peer);
         }
     }
-    auto const near_called =
-        std::ranges::count_if(called, [](std::string const &name)
-                              { return std::stoi(name.substr(7)) <= near; });
-    EXPECT_EQ(near_called, near);
-    EXPECT_GT(called.size(), static_cast<std::size_t>(near));
-    // A daemon makes these calls and answers as many; 900 bytes is an exchange
-    // with empty lists.
+    auto const local_called = std::ranges::count_if(
+        called, [](std::string const &name)
+        { return std::stoi(name.substr(7)) <= local_peers; });
+    EXPECT_EQ(local_called, local_peers);
+    EXPECT_GT(called.size(), static_cast<std::size_t>(local_peers));
+    // A daemon makes these calls and answers as many; a call and its answer
+    // with empty lists have 900 bytes.
     constexpr std::size_t budget_bytes = 8000;
-    EXPECT_LE(calls * 900 * 2 / run_seconds, budget_bytes);
+    EXPECT_LE(calls * 900 * 2 / duration_seconds, budget_bytes);
 }
 
 TEST(membership, live_daemons_follow_a_partition)
--- a/test/correctness/order_model_test.cpp
+++ b/test/correctness/order_model_test.cpp
@@ -1,6 +1,6 @@
-// Guards against conflicting orders: pauses, lost answers, outages, takeovers,
-// crashing engines and repeated or late copies of an order must never let an
-// engine obey two orders of which the first was not resolved.
+// Guards against conflicting orders: an engine must not execute a second order
+// before the first one is resolved, whatever pauses, lost answers, outages,
+// takeovers, engine crashes and repeated or late copies of an order occur.
 #include "fixed_seed_check.hpp"
 #include "order_model.hpp"
 
@@ -47,7 +47,7 @@
 }
 
 order_check check_orders(bool checks_fencing, fault_switches faults,
-                         bool mechanisms_work)
+                         bool expect_pass)
 {
     constexpr int cases = 60;
     constexpr std::uint64_t seed = 4711;
@@ -61,18 +61,18 @@
             order_model model(checks_fencing, 7);
             model.set_faults(faults);
             model.run(steps);
-            if (mechanisms_work)
+            if (expect_pass)
             {
                 model.settle();
             }
             add(check.totals, model.totals());
             RC_ASSERT(model.violations() == std::vector<std::string>());
         },
-        mechanisms_work);
+        expect_pass);
     return check;
 }
 
-/// The schedules must reach the cases that the check is about.
+/// Checks that the schedules reach the cases that the test is meant to cover.
 void expect_reached(order_model_totals const &totals)
 {
     EXPECT_GT(totals.effects, 100);
--- a/test/correctness/role_changes_test.cpp
+++ b/test/correctness/role_changes_test.cpp
@@ -1,5 +1,5 @@
-// Guards against role changes for a short peak, beyond the budget, without the
-// lease, or of the last engine of a kind.
+// Guards against role changes that follow a short peak, exceed the hourly
+// budget, are made without the lease, or change the last engine of a role.
 #include "plan_role_changes.hpp"
 #include "policy_world.hpp"
 
@@ -10,13 +10,13 @@
 
 using namespace agateledge;
 
-struct planned
+struct planner_fixture
 {
     world w;
     std::vector<engine_order> orders;
     bool holds_lease = true;
 
-    explicit planned(std::vector<engine_role> const &roles)
+    explicit planner_fixture(std::vector<engine_role> const &roles)
         : w(make_policy_world(roles))
     {
         w.hooks.order = [this](world &, engine_order const &order)
@@ -28,7 +28,7 @@
         { return holds_lease; };
     }
 
-    /// Runs with requests of `prompt` tokens at `rate` a second.
+    /// Runs with `rate` requests per second of `prompt` tokens each.
     void run(int length_seconds, int rate, int prompt)
     {
         for (int i = 0; i < length_seconds * 10; ++i)
@@ -52,7 +52,7 @@
 
 TEST(role_changes, follow_a_lasting_shift_within_the_budget)
 {
-    planned p(split_fleet());
+    planner_fixture p(split_fleet());
     p.w.config.policy.role_changes_per_hour = 2;
     p.run(120, 10, 3000);
     ASSERT_EQ(p.orders.size(), 2U);
@@ -61,7 +61,7 @@
 
 TEST(role_changes, do_not_follow_a_short_peak)
 {
-    planned p(split_fleet());
+    planner_fixture p(split_fleet());
     p.run(60, 10, 200);
     p.run(3, 10, 3000);
     p.run(60, 10, 200);
@@ -70,7 +70,7 @@
 
 TEST(role_changes, need_the_lease)
 {
-    planned p(split_fleet());
+    planner_fixture p(split_fleet());
     p.holds_lease = false;
     p.run(120, 10, 3000);
     EXPECT_TRUE(p.orders.empty());
@@ -78,14 +78,14 @@
 
 TEST(role_changes, leave_the_last_engine_of_a_kind)
 {
-    planned p({engine_role::prefill, engine_role::decode});
+    planner_fixture p({engine_role::prefill, engine_role::decode});
     p.run(120, 10, 3000);
     EXPECT_TRUE(p.orders.empty());
 }
 
 TEST(role_changes, a_high_weight_keeps_the_roles)
 {
-    planned p(split_fleet());
+    planner_fixture p(split_fleet());
     p.w.config.policy.role_change_weight = 1e9;
     p.run(120, 10, 3000);
     EXPECT_TRUE(p.orders.empty());
--- a/test/correctness/store_down_test.cpp
+++ b/test/correctness/store_down_test.cpp
@@ -1,6 +1,7 @@
-// Guards against a daemon that does not come up, floods the table service, or
-// accepts bookings when the table service, its peers, or both are down at its
-// start, and against one that does not recover from an outage.
+// Guards against a daemon that does not start, floods the table service, or
+// treats its configuration as confirmed and issues orders or accepts bookings
+// when the table service, its peers, or both are down at its start, and against
+// one that does not recover from an outage.
 #include "apply_configuration.hpp"
 #include "renew_leases.hpp"
 #include "virtual_deployment.hpp"
@@ -90,8 +91,8 @@
     EXPECT_TRUE(configuration_stale(start.state(0)));
     EXPECT_FALSE(holds_authority(start.state(0), "rennes-a"));
     EXPECT_EQ(start.state(0).config.summary, "from the settings");
-    // Two daemons, lease and configuration, one try in 2 to 4 s each, and a
-    // few short waits at the start.
+    // Two daemons with two kinds of call each (lease, configuration), one
+    // attempt per 2 to 4 s, and a few short back-offs at the start.
     EXPECT_LT(start.calls, 120);
 }
 
