--- a/src/apply_configuration.cpp
+++ b/src/apply_configuration.cpp
@@ -19,12 +19,13 @@
 {
 
 constexpr duration poll_interval = seconds(1);
-/// Age of the last confirmation from which on any daemon polls.
-constexpr duration own_poll_after = seconds(4);
+/// Age of the last confirmation at which a daemon polls whatever its rank.
+constexpr duration unconfirmed_poll_after = seconds(4);
 constexpr duration call_timeout = seconds(2);
 constexpr duration backoff_base = milliseconds(200);
 constexpr duration max_backoff = seconds(3);
-/// Time for a fetch from a peer before another peer is asked.
+/// Minimum time between two fetches, so that a peer can answer before another
+/// one is asked.
 constexpr duration fetch_interval = milliseconds(500);
 constexpr std::size_t pollers_per_data_centre = 2;
 
@@ -44,14 +45,14 @@
     send(w, configuration_step::reading_head, std::move(call));
 }
 
-void read_document(world &w, revision_number revision)
+void read_index(world &w, revision_number revision)
 {
     table_call call;
     call.keys.push_back(revision_key(revision));
-    send(w, configuration_step::reading_document, std::move(call));
+    send(w, configuration_step::reading_index, std::move(call));
 }
 
-void write_first(world &w)
+void write_first_revision(world &w)
 {
     auto first = *w.initial_config;
     first.revision = std::max(first.revision, revision_number(1));
@@ -61,24 +62,24 @@
     call.conditions.push_back({configuration_head_key, 0});
     store_configuration(call, w.config_sync, index, documents,
                         w.identity.name + ":first");
-    send(w, configuration_step::writing_first, std::move(call));
+    send(w, configuration_step::writing_first_revision, std::move(call));
 }
 
-void take_head(world &w, table_row const &row)
+void handle_head(world &w, table_row const &row)
 {
     auto &sync = w.config_sync;
     if (row.version == 0)
     {
         if (w.initial_config)
         {
-            write_first(w);
+            write_first_revision(w);
         }
         return;
     }
     auto const head = configuration_head_from_text(row.value);
     if (head.revision > w.config.revision)
     {
-        read_document(w, head.revision);
+        read_index(w, head.revision);
         return;
     }
     if (head.revision == w.config.revision)
@@ -87,7 +88,8 @@
     }
 }
 
-void report_damage(world &w, std::string const &key, absl::Status const &status)
+void log_damaged_document(world &w, std::string const &key,
+                          absl::Status const &status)
 {
     w.out.log_entries.push_back(
         {log_level::error,
@@ -95,14 +97,16 @@
          {{"key", key}, {"reason", status.ToString()}}});
 }
 
-/// Puts the pending revision together and forgets sections that it lacks.
-void assemble(world &w)
+/// Puts the pending revision in force and drops cached sections that it does
+/// not use.
+void apply_pending_revision(world &w)
 {
     auto &sync = w.config_sync;
     auto const config = join_configuration(sync.pending, sync.documents);
     if (!config.ok())
     {
-        report_damage(w, revision_key(sync.pending.revision), config.status());
+        log_damaged_document(w, revision_key(sync.pending.revision),
+                             config.status());
         return;
     }
     section_documents used;
@@ -118,13 +122,13 @@
     }
 }
 
-void take_index(world &w, table_row const &row)
+void handle_index(world &w, table_row const &row)
 {
     auto &sync = w.config_sync;
     auto index = configuration_index_from_json(row.value);
     if (!index.ok())
     {
-        report_damage(w, row.key, index.status());
+        log_damaged_document(w, row.key, index.status());
         return;
     }
     sync.pending = *std::move(index);
@@ -138,13 +142,13 @@
     }
     if (call.keys.empty())
     {
-        assemble(w);
+        apply_pending_revision(w);
         return;
     }
     send(w, configuration_step::reading_sections, std::move(call));
 }
 
-void take_sections(world &w, std::vector<table_row> const &rows)
+void handle_sections(world &w, std::vector<table_row> const &rows)
 {
     for (auto const &row : rows)
     {
@@ -152,7 +156,7 @@
         w.config_sync.documents.insert_or_assign(
             digest, std::make_shared<std::string const>(row.value));
     }
-    assemble(w);
+    apply_pending_revision(w);
 }
 
 void back_off(world &w)
@@ -163,7 +167,7 @@
                                            backoff_base, max_backoff);
 }
 
-void take_reply(world &w, table_reply const &reply)
+void handle_reply(world &w, table_reply const &reply)
 {
     auto &sync = w.config_sync;
     if (reply.operation != sync.operation ||
@@ -172,7 +176,7 @@
         return;
     }
     auto const step = std::exchange(sync.step, configuration_step::idle);
-    if (step == configuration_step::writing_first)
+    if (step == configuration_step::writing_first_revision)
     {
         sync.next_poll = w.now;
     }
@@ -185,19 +189,19 @@
     sync.failures = 0;
     if (step == configuration_step::reading_head)
     {
-        take_head(w, reply.rows.at(0));
+        handle_head(w, reply.rows.at(0));
     }
-    if (step == configuration_step::reading_document)
+    if (step == configuration_step::reading_index)
     {
-        take_index(w, reply.rows.at(0));
+        handle_index(w, reply.rows.at(0));
     }
     if (step == configuration_step::reading_sections)
     {
-        take_sections(w, reply.rows);
+        handle_sections(w, reply.rows);
     }
 }
 
-void take_peer_document(world &w, configuration_document const &document)
+void apply_peer_document(world &w, configuration_document const &document)
 {
     auto const config = configuration_from_json(document.document);
     if (!config.ok() || !put_in_force(w, *config))
@@ -211,7 +215,7 @@
     }
 }
 
-void fetch(world &w, heartbeat const &message)
+void fetch_revision(world &w, heartbeat const &message)
 {
     if (w.now < w.config_sync.next_fetch)
     {
@@ -221,8 +225,9 @@
     w.config_sync.fetch_sent_at = w.now;
     if (w.config_sync.failures == 0)
     {
-        // A revision is kilobytes from the table service, which has it in
-        // sections, and megabytes from a peer.
+        // Prefer the table service: it holds a revision in sections, of which
+        // kilobytes have to be read; a peer sends the full document, which is
+        // megabytes.
         if (w.config_sync.step == configuration_step::idle)
         {
             read_head(w);
@@ -232,22 +237,22 @@
     w.out.configuration_fetches.push_back({message.from, message.address});
 }
 
-void take_heartbeat(world &w, heartbeat const &message)
+void handle_heartbeat(world &w, heartbeat const &message)
 {
     if (message.revision > w.config.revision)
     {
-        fetch(w, message);
+        fetch_revision(w, message);
     }
 }
 
-bool must_poll(world const &w)
+bool should_poll(world const &w)
 {
     auto const &confirmed = w.config_sync.confirmed_at;
-    return !confirmed || w.now - *confirmed >= own_poll_after ||
+    return !confirmed || w.now - *confirmed >= unconfirmed_poll_after ||
            rendezvous_rank(w, "config") < pollers_per_data_centre;
 }
 
-void poll(world &w)
+void poll_table_service(world &w)
 {
     auto &sync = w.config_sync;
     if (sync.step != configuration_step::idle)
@@ -263,7 +268,7 @@
     if (w.now >= sync.next_poll)
     {
         sync.next_poll = w.now + poll_interval;
-        if (must_poll(w))
+        if (should_poll(w))
         {
             read_head(w);
         }
@@ -333,16 +338,16 @@
     {
         if (reply.owner == table_owner::configuration)
         {
-            take_reply(w, reply);
+            handle_reply(w, reply);
         }
     }
     for (auto const &document : w.in.configuration_documents)
     {
-        take_peer_document(w, document);
+        apply_peer_document(w, document);
     }
     std::ranges::for_each(w.in.heartbeats, [&w](heartbeat const &message)
-                          { take_heartbeat(w, message); });
-    poll(w);
+                          { handle_heartbeat(w, message); });
+    poll_table_service(w);
 }
 
 } // namespace agateledge
--- a/src/apply_configuration.hpp
+++ b/src/apply_configuration.hpp
@@ -9,37 +9,42 @@
 struct configuration;
 struct world;
 
-/// Time without confirmation after which the revision in force counts as stale.
+/// Time after its last confirmation at which the revision in force is stale.
 inline constexpr duration configuration_stale_after = seconds(10);
 
-/// Puts a configuration in force if its revision is higher than the current
-/// one. The revision in force never goes back.
+/// Puts a configuration in force if its revision is higher than that of the
+/// configuration in force, so that a late or repeated document never reverts
+/// it.
 ///
-/// @return true when the configuration is now in force
+/// @return true when `config` has been put in force
 bool put_in_force(world &w, configuration const &config);
 
-/// Serves by the configuration of the settings, as revision 0, until the table
-/// service or a peer has told the current one. Until then nothing that needs a
-/// confirmed configuration is done.
+/// Puts the configuration from the daemon's settings in force as revision 0
+/// until the current one arrives from the table service or a peer. Orders and
+/// non-idempotent calls, which need a confirmed revision, are refused until
+/// then. The table service gets this configuration as its first revision if it
+/// has none.
 void use_initial_configuration(world &w, configuration initial);
 
-/// Notes that the revision in force was the current one at `when`.
+/// Records that the revision in force was the current one at `when`. An earlier
+/// time than the recorded one has no effect.
 void confirm_revision(world &w, instant when);
 
-/// Keeps the configuration current: the two daemons of the data centre that
-/// rank highest poll the table service, the others hear of revisions by
-/// heartbeats and fetch from a peer that is ahead. A daemon without any recent
-/// confirmation polls as well. When the table service has no configuration, the
-/// one from the settings becomes its first revision.
+/// Keeps the configuration current. The two daemons of the data centre with the
+/// highest rendezvous rank poll the table service. The others learn of a new
+/// revision from heartbeats; they read it from the table service, or from the
+/// peer that announced it while the table service does not answer. A daemon
+/// without a recent confirmation also polls. If the table service has no
+/// configuration, the one from the settings is written as its first revision.
 void apply_configuration(world &w);
 
-/// @return true when the daemon has just started and has not yet had the time
-///         to confirm its configuration
+/// @return true when no revision has been confirmed since the start, at most
+///         `configuration_stale_after` ago
 bool configuration_pending(world const &w);
 
-/// @return true when the revision in force was not confirmed for
-///         `configuration_stale_after`, so that orders and non-idempotent calls
-///         are refused
+/// @return true when the revision in force has not been confirmed within
+///         `configuration_stale_after`; orders and non-idempotent calls are
+///         then refused
 bool configuration_stale(world const &w);
 
 } // namespace agateledge
--- a/src/configuration.hpp
+++ b/src/configuration.hpp
@@ -15,14 +15,15 @@
 namespace agateledge
 {
 
-/// One revision of what the operators configured. In force as a whole.
+/// One revision of the operators' configuration. A revision is always put in
+/// force as a unit.
 struct configuration
 {
     revision_number revision;
     /// Operator who made the change, and when (seconds since the Unix epoch).
     std::string author;
     std::int64_t changed_at = 0;
-    /// Statements of the change, for the history.
+    /// Operator statements that made the change, for the history.
     std::string summary;
     std::vector<service_definition> services;
     std::vector<request_class> classes;
--- a/src/configuration_head.cpp
+++ b/src/configuration_head.cpp
@@ -20,7 +20,7 @@
     Json::Value out;
     out["revision"] = Json::UInt64(head.revision.value());
     out["author"] = head.author;
-    out["attempt"] = head.attempt;
+    out["attempt"] = head.write_id;
     return json_to_text(out);
 }
 
--- a/src/configuration_head.hpp
+++ b/src/configuration_head.hpp
@@ -9,16 +9,17 @@
 namespace agateledge
 {
 
-/// Document of the row `config/current`: which revision is current. The
+/// Document of the row `config/current`, which names the current revision. The
 /// revision's index is in `config/revision/<n>`, its sections in
-/// `config/section/<digest>`. All are written in the same transaction; a poll
-/// reads this row only, so that it stays small.
+/// `config/section/<digest>`. All are written in the same transaction. A poll
+/// reads only this row, which keeps polling cheap.
 struct configuration_head
 {
     revision_number revision;
     std::string author;
-    /// Identifies the write, so that its writer recognises it when reading.
-    std::string attempt;
+    /// Identifies the write, so that its writer recognises it when reading;
+    /// stored as "attempt".
+    std::string write_id;
 
     auto operator<=>(configuration_head const &) const = default;
 };
@@ -29,13 +30,14 @@
 /// @return the key of the row that holds the index of a revision
 std::string revision_key(revision_number revision);
 
-/// @return the key of the row that holds a section; it never changes
+/// @return the key of the row that holds a section; the row never changes,
+///         since its key is the digest of its content
 std::string section_key(std::string const &digest);
 
-/// @return the JSON document of the row
+/// @return `head` as the JSON document of the row `config/current`
 std::string configuration_head_to_text(configuration_head const &head);
 
-/// @return the head of a JSON document; revision 0 when the document is absent
+/// @return the head parsed from `text`; revision 0 when the document is empty
 ///         or damaged
 configuration_head configuration_head_from_text(std::string const &text);
 
--- a/src/configuration_sections.cpp
+++ b/src/configuration_sections.cpp
@@ -18,7 +18,8 @@
 namespace
 {
 
-/// At 26,000 accounts a shard has about 100, or 17 KB, and the index 15 KB.
+/// With 26,000 accounts a shard has about 100 of them, or 17 KB, and the index
+/// has 15 KB.
 constexpr unsigned caller_shards = 256;
 
 std::string caller_section(std::string const &name)
@@ -30,17 +31,18 @@
     return text.data();
 }
 
-/// Distributes the items over the sections that `name_of` gives.
-template <class Item, class NameOf>
+/// Appends each item to its section, which `section_of` names.
+template <class Item, class SectionOf>
 void distribute(std::vector<Item> const &items,
-                std::vector<Item> configuration::*list, NameOf name_of,
+                std::vector<Item> configuration::*list, SectionOf section_of,
                 std::map<std::string, configuration> &parts)
 {
     std::ranges::for_each(items, [&](Item const &item)
-                          { (parts[name_of(item)].*list).push_back(item); });
+                          { (parts[section_of(item)].*list).push_back(item); });
 }
 
-std::map<std::string, configuration> parts_of(configuration const &value)
+std::map<std::string, configuration>
+split_into_parts(configuration const &value)
 {
     std::map<std::string, configuration> parts;
     auto &base = parts["base"];
@@ -101,7 +103,7 @@
 {
     configuration_index index{
         value.revision, value.author, value.changed_at, value.summary, {}};
-    for (auto const &[name, part] : parts_of(value))
+    for (auto const &[name, part] : split_into_parts(value))
     {
         auto document =
             std::make_shared<std::string const>(configuration_to_json(part));
@@ -127,7 +129,7 @@
         if (document == documents.end())
         {
             return make_status(result_code::settings_invalid,
-                               "section " + name + " is missing");
+                               "configuration section " + name + " is missing");
         }
         auto part = configuration_from_json(*document->second);
         if (!part.ok())
@@ -179,11 +181,12 @@
         return make_status(result_code::settings_invalid,
                            std::string("configuration index: ") + error.what());
     }
-    // A document without sections would put an empty configuration in force.
+    // Without this check, a row with another kind of document would put an
+    // empty configuration in force.
     if (!out.sections.contains("base"))
     {
         return make_status(result_code::settings_invalid,
-                           "configuration index: section base is missing");
+                           "configuration index: the section base is missing");
     }
     return out;
 }
--- a/src/configuration_sections.hpp
+++ b/src/configuration_sections.hpp
@@ -15,14 +15,14 @@
 namespace agateledge
 {
 
-/// Documents of the sections of a configuration, by digest. A section never
-/// changes, so daemons keep those that they know and fetch only new ones.
+/// Documents of the sections of a configuration, by digest. A digest always
+/// names the same document, so daemons cache documents and read only new ones.
 using section_documents =
     std::map<std::string, std::shared_ptr<std::string const>>;
 
 /// Document of one revision: its description and the digests of its sections.
-/// A change of one account among 26,000 touches one section of about 100
-/// accounts, so that a revision costs kilobytes in place of megabytes.
+/// A change to one of 26,000 accounts rewrites one section of about 100
+/// accounts, so a revision costs kilobytes to transfer instead of megabytes.
 struct configuration_index
 {
     revision_number revision;
@@ -39,17 +39,19 @@
 /// Splits a configuration into sections.
 ///
 /// @param value configuration
-/// @param documents gets the documents of all its sections
+/// @param[out] documents receives the documents of all its sections; entries
+///        that it already has are kept
 /// @return the index of the configuration
 configuration_index split_configuration(configuration const &value,
                                         section_documents &documents);
 
-/// Puts a configuration together.
+/// Joins sections to a configuration.
 ///
 /// @param index description and digests
 /// @param documents documents of at least the sections of the index
-/// @return the configuration, in the order of the section names, or
-///         `settings_invalid` when a section is missing or damaged
+/// @return the configuration, its lists in the order of the section names, or
+///         an error when a section is missing (`settings_invalid`) or cannot be
+///         parsed
 absl::StatusOr<configuration>
 join_configuration(configuration_index const &index,
                    section_documents const &documents);
@@ -57,11 +59,15 @@
 /// @return `index` as a JSON document
 std::string configuration_index_to_json(configuration_index const &index);
 
-/// @return the index of a JSON document, or `settings_invalid`
+/// Reads the JSON document of an index.
+///
+/// @return the index, or `settings_invalid` when a field has the wrong type or
+///         the section "base" is missing, or `invalid_request` when `text` is
+///         not JSON
 absl::StatusOr<configuration_index>
 configuration_index_from_json(std::string_view text);
 
-/// @return digest of a section's document, in hexadecimal
+/// @return digest of a section's document: XXH3, 128 bits, in hexadecimal
 std::string section_digest(std::string_view document);
 
 } // namespace agateledge
--- a/src/propose_configuration.cpp
+++ b/src/propose_configuration.cpp
@@ -17,12 +17,13 @@
 namespace
 {
 
-/// Writes and reads after which an unresolved proposal is given up.
-constexpr int max_tries = 6;
+/// Operations on the table service, reads included, after which the operator is
+/// told that the outcome is unknown.
+constexpr int max_operations = 6;
 constexpr duration call_timeout = seconds(2);
 
-void reply_to(world &w, operator_call_number call, result_code code,
-              revision_number revision, std::string const &message)
+void reply_to_operator(world &w, operator_call_number call, result_code code,
+                       revision_number revision, std::string const &message)
 {
     Json::Value text;
     text["revision"] = Json::UInt64(revision.value());
@@ -38,7 +39,7 @@
 {
     proposal.step = step;
     proposal.sent_at = w.now;
-    ++proposal.tries;
+    ++proposal.operations_sent;
     auto const operation =
         call_table(w, table_owner::operators, std::move(call));
     w.config_sync.proposals.emplace(operation, std::move(proposal));
@@ -67,11 +68,11 @@
     call.conditions.push_back({configuration_head_key, proposal.head_version});
     call.conditions.push_back({revision_key(next.revision), 0});
     store_configuration(call, w.config_sync, proposal.index, proposal.documents,
-                        proposal.attempt);
+                        proposal.write_id);
     send(w, std::move(proposal), proposal_step::writing, std::move(call));
 }
 
-void accept(world &w, configuration_proposal const &proposal)
+void complete(world &w, configuration_proposal const &proposal)
 {
     if (proposal.index.revision > w.config_sync.stored.revision)
     {
@@ -82,33 +83,37 @@
     {
         confirm_revision(w, proposal.sent_at);
     }
-    reply_to(w, proposal.call, result_code::ok, proposal.next.revision, "");
+    reply_to_operator(w, proposal.call, result_code::ok, proposal.next.revision,
+                      "");
 }
 
-void refuse(world &w, configuration_proposal const &proposal,
+void reject(world &w, configuration_proposal const &proposal,
             revision_number current)
 {
-    reply_to(w, proposal.call, result_code::revision_conflict, current,
-             "another change was made first; the current revision is " +
-                 std::to_string(current.value()));
+    reply_to_operator(
+        w, proposal.call, result_code::revision_conflict, current,
+        "another change was committed first; the current revision is " +
+            std::to_string(current.value()));
 }
 
-void take_head(world &w, configuration_proposal proposal, table_row const &row)
+void handle_head(world &w, configuration_proposal proposal,
+                 table_row const &row)
 {
     auto const head = configuration_head_from_text(row.value);
     if (head.revision.value() + 1 != proposal.next.revision.value())
     {
-        refuse(w, proposal, head.revision);
+        reject(w, proposal, head.revision);
         return;
     }
     proposal.head_version = row.version;
     send_write(w, std::move(proposal));
 }
 
-/// The row of the new revision tells whose write took effect. As long as it is
-/// absent, the write is sent again: its condition lets it take effect once.
-void take_result(world &w, configuration_proposal proposal,
-                 std::vector<table_row> const &rows)
+/// Resolves a write with an unknown outcome: the row of the new revision holds
+/// the identifier of the write that took effect. If the row is absent, the
+/// write is sent again; its conditions let it take effect at most once.
+void handle_result(world &w, configuration_proposal proposal,
+                   std::vector<table_row> const &rows)
 {
     if (rows.at(1).version == 0)
     {
@@ -117,62 +122,65 @@
     }
     auto const document = json_from_text(rows.at(1).value);
     if (document.ok() && document->isObject() &&
-        (*document)["attempt"] == Json::Value(proposal.attempt))
+        (*document)["attempt"] == Json::Value(proposal.write_id))
     {
-        accept(w, proposal);
+        complete(w, proposal);
         return;
     }
-    refuse(w, proposal,
+    reject(w, proposal,
            configuration_head_from_text(rows.at(0).value).revision);
 }
 
-bool may_be_written(configuration_proposal const &proposal)
+bool write_was_sent(configuration_proposal const &proposal)
 {
     return proposal.step != proposal_step::reading_head;
 }
 
-void take_failure(world &w, configuration_proposal proposal,
-                  table_outcome outcome)
+void handle_failure(world &w, configuration_proposal proposal,
+                    table_outcome outcome)
 {
+    // The first two operations are the read of the head and the first write.
+    // Later ones follow a write that may have taken effect.
     bool const nothing_written =
-        !may_be_written(proposal) ||
-        (proposal.tries <= 2 && outcome == table_outcome::unavailable);
+        !write_was_sent(proposal) || (proposal.operations_sent <= 2 &&
+                                      outcome == table_outcome::unavailable);
     if (nothing_written)
     {
-        reply_to(w, proposal.call, result_code::store_unavailable,
-                 w.config.revision, "the table service does not answer");
+        reply_to_operator(
+            w, proposal.call, result_code::store_unavailable, w.config.revision,
+            "the table service did not answer; nothing was written");
         return;
     }
-    if (proposal.tries >= max_tries)
+    if (proposal.operations_sent >= max_operations)
     {
-        reply_to(w, proposal.call, result_code::outcome_unknown,
-                 w.config.revision,
-                 "the table service does not tell whether revision " +
-                     std::to_string(proposal.next.revision.value()) +
-                     " was written");
+        reply_to_operator(
+            w, proposal.call, result_code::outcome_unknown, w.config.revision,
+            "the table service did not confirm whether revision " +
+                std::to_string(proposal.next.revision.value()) +
+                " was written");
         return;
     }
     send_result_read(w, std::move(proposal));
 }
 
-void take_commit(world &w, configuration_proposal proposal,
-                 table_reply const &reply)
+void handle_commit(world &w, configuration_proposal proposal,
+                   table_reply const &reply)
 {
     switch (proposal.step)
     {
     case proposal_step::reading_head:
-        take_head(w, std::move(proposal), reply.rows.at(0));
+        handle_head(w, std::move(proposal), reply.rows.at(0));
         return;
     case proposal_step::writing:
-        accept(w, proposal);
+        complete(w, proposal);
         return;
     case proposal_step::reading_result:
-        take_result(w, std::move(proposal), reply.rows);
+        handle_result(w, std::move(proposal), reply.rows);
         return;
     }
 }
 
-void take_reply(world &w, table_reply const &reply)
+void handle_reply(world &w, table_reply const &reply)
 {
     auto &proposals = w.config_sync.proposals;
     auto const found = proposals.find(reply.operation);
@@ -185,36 +193,36 @@
     switch (reply.outcome)
     {
     case table_outcome::committed:
-        take_commit(w, std::move(proposal), reply);
+        handle_commit(w, std::move(proposal), reply);
         return;
     case table_outcome::conflict:
         send_result_read(w, std::move(proposal));
         return;
     case table_outcome::unavailable:
     case table_outcome::unknown:
-        take_failure(w, std::move(proposal), reply.outcome);
+        handle_failure(w, std::move(proposal), reply.outcome);
         return;
     }
 }
 
-void expire_calls(world &w)
+void expire_operations(world &w)
 {
     auto &proposals = w.config_sync.proposals;
-    std::vector<configuration_proposal> late;
+    std::vector<configuration_proposal> expired;
     std::erase_if(proposals,
                   [&](auto &item)
                   {
-                      bool const is_late =
+                      bool const is_expired =
                           w.now - item.second.sent_at >= call_timeout;
-                      if (is_late)
+                      if (is_expired)
                       {
-                          late.push_back(std::move(item.second));
+                          expired.push_back(std::move(item.second));
                       }
-                      return is_late;
+                      return is_expired;
                   });
-    for (auto &proposal : late)
+    for (auto &proposal : expired)
     {
-        take_failure(w, std::move(proposal), table_outcome::unknown);
+        handle_failure(w, std::move(proposal), table_outcome::unknown);
     }
 }
 
@@ -225,26 +233,29 @@
 {
     if (configuration_stale(w))
     {
-        reply_to(w, call, result_code::configuration_stale, w.config.revision,
-                 "the revision in force is not confirmed");
+        reply_to_operator(w, call, result_code::configuration_stale,
+                          w.config.revision,
+                          "the revision in force is not confirmed");
         return false;
     }
     if (next.revision != w.config.revision)
     {
-        reply_to(w, call, result_code::revision_conflict, w.config.revision,
-                 "the change was made from another revision");
+        reply_to_operator(w, call, result_code::revision_conflict,
+                          w.config.revision,
+                          "the change is not based on the revision in force");
         return false;
     }
     next.revision = revision_number(next.revision.value() + 1);
     configuration_proposal proposal;
     proposal.call = call;
     proposal.index = split_configuration(next, proposal.documents);
-    // In the order in which every other daemon puts the sections together.
+    // Joined from the sections, so that the lists are in the same order here as
+    // on the daemons that read the revision.
     proposal.next =
         join_configuration(proposal.index, proposal.documents).value();
-    proposal.attempt = w.identity.name + ":" +
-                       std::to_string(w.identity.incarnation.value()) +
-                       ":config:" + std::to_string(w.last_operation + 1);
+    proposal.write_id = w.identity.name + ":" +
+                        std::to_string(w.identity.incarnation.value()) +
+                        ":config:" + std::to_string(w.last_operation + 1);
     send_head_read(w, std::move(proposal));
     return true;
 }
@@ -255,14 +266,14 @@
     {
         if (reply.owner == table_owner::operators)
         {
-            take_reply(w, reply);
+            handle_reply(w, reply);
         }
     }
     if (w.config_sync.proposals.empty())
     {
         return;
     }
-    expire_calls(w);
+    expire_operations(w);
     for (auto const &item : w.config_sync.proposals)
     {
         wake_at(w, item.second.sent_at + call_timeout);
--- a/src/propose_configuration.hpp
+++ b/src/propose_configuration.hpp
@@ -10,21 +10,27 @@
 struct world;
 
 /// Proposes the next revision of the configuration. Exactly one operator reply
-/// follows: `ok` with the new revision, `revision_conflict` with the current
-/// one when another change was first, `store_unavailable` when nothing was
-/// written, `configuration_stale`, or `outcome_unknown` when the table service
-/// stayed away after the write was sent.
+/// follows:
+/// - `ok` with the new revision,
+/// - `revision_conflict` with the current revision when another change was
+///   committed first,
+/// - `store_unavailable` when the table service did not answer and nothing was
+///   written,
+/// - `configuration_stale` when the revision in force is not confirmed,
+/// - `outcome_unknown` when the write was sent and the table service does not
+///   answer whether it took effect.
 ///
 /// @param w the daemon
-/// @param next whole configuration with the author, the time and the summary;
-///        its `revision` is still that of the configuration it was made from
+/// @param next complete configuration with the author, the time and the
+///        summary; its `revision` is that of the configuration it is based on
 /// @param call operator's call that waits for the reply
 /// @return false when the proposal was refused at once; its reply is then
 ///         already in the outbox
 bool propose_configuration(world &w, configuration next,
                            operator_call_number call);
 
-/// Advances proposals by this tick's replies of the table service.
+/// Advances pending proposals: handles the replies of the table service that
+/// arrived in this tick and operations that timed out.
 void follow_proposals(world &w);
 
 } // namespace agateledge
--- a/src/store_configuration.cpp
+++ b/src/store_configuration.cpp
@@ -24,10 +24,10 @@
 }
 
 std::string index_text(configuration_index const &index,
-                       std::string const &attempt)
+                       std::string const &write_id)
 {
     auto document = *json_from_text(configuration_index_to_json(index));
-    document["attempt"] = attempt;
+    document["attempt"] = write_id;
     return json_to_text(document);
 }
 
@@ -36,13 +36,13 @@
 void store_configuration(table_call &call, configuration_state const &sync,
                          configuration_index const &index,
                          section_documents const &documents,
-                         std::string const &attempt)
+                         std::string const &write_id)
 {
     call.puts.push_back(
         {configuration_head_key,
-         configuration_head_to_text({index.revision, index.author, attempt})});
+         configuration_head_to_text({index.revision, index.author, write_id})});
     call.puts.push_back(
-        {revision_key(index.revision), index_text(index, attempt)});
+        {revision_key(index.revision), index_text(index, write_id)});
     auto const stored = digests_of(sync.stored);
     for (auto const &digest : digests_of(index))
     {
