--- a/src/counters.hpp
+++ b/src/counters.hpp
@@ -7,7 +7,7 @@
 namespace agateledge
 {
 
-/// Totals since the start of the daemon.
+/// Totals since the start of the daemon, reported as metrics.
 struct counters
 {
     std::uint64_t requests = 0;
@@ -17,9 +17,10 @@
     std::uint64_t outcome_unknown = 0;
     std::uint64_t failed = 0;
     std::uint64_t cancelled = 0;
-    /// Streams whose callers were told to resume at another daemon.
+    /// Streams whose callers were asked to resume at another daemon.
     std::uint64_t handed_over = 0;
     std::uint64_t retries = 0;
+    /// Late or repeated events of engines and endpoints that were ignored.
     std::uint64_t events_dropped = 0;
     std::uint64_t orders_sent = 0;
     std::uint64_t role_changes = 0;
--- a/src/daemon_identity.hpp
+++ b/src/daemon_identity.hpp
@@ -9,7 +9,7 @@
 namespace agateledge
 {
 
-/// Who a daemon is, from its settings and its start time.
+/// Identity of a daemon, from its settings and its start time.
 struct daemon_identity
 {
     std::string name;
--- a/src/endpoint_definition.hpp
+++ b/src/endpoint_definition.hpp
@@ -7,7 +7,7 @@
 namespace agateledge
 {
 
-/// Endpoint of a plain service as the operators configured it.
+/// Endpoint of a plain service, as configured by the operators.
 struct endpoint_definition
 {
     std::string name;
--- a/src/engine_definition.hpp
+++ b/src/engine_definition.hpp
@@ -10,7 +10,7 @@
 namespace agateledge
 {
 
-/// Engine as the operators configured it.
+/// Engine, as configured by the operators.
 struct engine_definition
 {
     std::string name;
@@ -20,13 +20,15 @@
     std::string service;
     std::string model;
     std::string model_version;
-    /// Role at the first start; role changes are recorded as orders.
+    /// Initial role; later role changes are recorded as orders.
     engine_role role = engine_role::mixed;
-    /// True when the engine refuses an order with an old fencing number.
+    /// True when the engine rejects orders with an outdated fencing number.
     bool checks_fencing = true;
+    /// True when the engine gets no new requests and finishes those it has.
     bool draining = false;
+    /// True when operators have taken the engine out of service.
     bool withdrawn = false;
-    /// Room for KV cache, in tokens.
+    /// Capacity of the KV cache, in tokens.
     std::int64_t kv_capacity_tokens = 200000;
 
     auto operator<=>(engine_definition const &) const = default;
--- a/src/fault_switches.hpp
+++ b/src/fault_switches.hpp
@@ -4,8 +4,9 @@
 namespace agateledge
 {
 
-/// Switches that disable one mechanism each. Only tests set them, to show that
-/// an invariant fails without its mechanism; a daemon has no setting for them.
+/// Fault injection: each switch disables one safety mechanism. Only tests set
+/// them, to show that the invariant checks detect the missing mechanism; a
+/// daemon has no setting for them.
 struct fault_switches
 {
     bool skip_claim = false;
--- a/src/inbox.hpp
+++ b/src/inbox.hpp
@@ -20,8 +20,8 @@
 namespace agateledge
 {
 
-/// Where an interrupted answer is continued, from a signed request id and the
-/// `Last-Event-ID` of the caller.
+/// Position at which an interrupted answer is resumed, taken from the signed
+/// request id and the offset in the caller's `Last-Event-ID`.
 struct resume_point
 {
     /// Stream key of the engine's stream; see `stream_key_of`.
@@ -38,29 +38,30 @@
 {
     request_number request;
     std::string caller;
-    /// Name of the request class; empty for the service's first class.
+    /// Name of the request class; empty selects the service's first class.
     std::string class_name;
-    /// Model, for a model request.
+    /// Name of the model; empty for a request to a plain service.
     std::string model;
     /// Name of the plain service; empty for a model request.
     std::string service;
     int prompt_tokens = 0;
     int max_output_tokens = 0;
-    /// Hashes of the prompt's leading blocks, each covering those before it.
+    /// Hashes of the prompt's leading blocks; each hash also covers the blocks
+    /// before it.
     std::vector<std::uint64_t> prefix_hashes;
     /// Tokens in one block of `prefix_hashes`.
     int prefix_block_tokens = 64;
     std::string method;
     std::string path;
     shared_text body;
-    /// Fixes the engine's sampling, so that an answer can be continued on
-    /// another engine.
+    /// Seed of the engine's sampling; makes sampling reproducible, so that an
+    /// answer can be continued on another engine.
     std::uint64_t seed = 0;
-    /// Key of a non-idempotent call.
+    /// Idempotency key of a non-idempotent call.
     std::string idempotency_key;
-    /// False for a call that may run at most once.
+    /// False for a call that must not run more than once.
     bool idempotent = true;
-    /// Set when the caller continues an interrupted answer.
+    /// Set when the caller resumes an interrupted answer.
     std::shared_ptr<resume_point const> resume;
 };
 
@@ -70,18 +71,18 @@
     request_number request;
 };
 
-/// Progress of an attempt on an engine.
+/// Kind of progress of an attempt on an engine.
 enum class engine_event_kind
 {
-    /// `tokens` tokens from `offset` on.
+    /// `tokens` tokens of the answer, starting at `offset`.
     chunk,
     /// The answer is complete; `offset` is its length in tokens.
     finished,
-    /// Prefill is done and the KV cache can be exported.
+    /// Prefill is complete and the KV cache can be exported.
     prefilled,
     /// The engine refused the attempt before it did any work.
     refused,
-    /// The connection failed and no byte had been sent.
+    /// The connection failed before any byte was sent.
     failed_before_send,
     /// The connection failed after bytes may have been sent.
     failed_after_send,
@@ -94,7 +95,7 @@
     int offset = 0;
     int tokens = 0;
     std::string text;
-    /// Prompt tokens found in the prefix cache; with the first event.
+    /// Prompt tokens found in the prefix cache; set in the first event.
     int cached_tokens = 0;
 };
 
@@ -114,10 +115,11 @@
     std::string body;
 };
 
-/// State that an engine reported; late by `age`.
+/// State that an engine reported.
 struct load_report
 {
     std::string engine;
+    /// Age of the state when it was received.
     duration age{};
     int running = 0;
     int waiting = 0;
@@ -126,11 +128,11 @@
     engine_role role = engine_role::mixed;
     std::string model;
     std::string model_version;
-    /// Grows with each order that took effect and with each engine restart.
+    /// Incremented by each order that takes effect and by each engine restart.
     std::uint64_t generation = 0;
     /// False while the engine loads a model or changes its role.
     bool ready = true;
-    /// Last order that took effect.
+    /// Id of the last order that took effect.
     std::string last_order;
 };
 
@@ -138,19 +140,22 @@
 struct cache_event
 {
     std::string engine;
+    /// Number of the event at the engine; a gap shows that events were lost.
     std::uint64_t sequence = 0;
     std::uint64_t prefix_hash = 0;
+    /// True for a block that was stored, false for an evicted one.
     bool stored = true;
 };
 
-/// Host of the platform's membership list.
+/// Host in the platform's membership list.
 struct host_entry
 {
     std::string name;
     std::string data_centre;
     std::string address;
     bool leaving = false;
-    /// True for an entry host; false for an engine's or endpoint's host.
+    /// True for a host that runs a daemon; false for the host of an engine or
+    /// endpoint.
     bool entry = true;
 
     auto operator<=>(host_entry const &) const = default;
@@ -172,13 +177,13 @@
 {
     std::string from;
     std::string document;
-    /// As `heartbeat::revision_age_us`.
+    /// Same meaning as `heartbeat::revision_age_us`.
     std::int64_t revision_age_us = -1;
 };
 
 enum class order_outcome
 {
-    /// The engine accepted the order or had already done so.
+    /// The engine accepted the order, now or earlier.
     accepted,
     refused_fencing,
     refused_generation,
@@ -193,7 +198,7 @@
     order_outcome outcome = order_outcome::unknown;
 };
 
-/// Statement of an operator.
+/// Statement that an operator sent.
 struct operator_request
 {
     operator_call_number call;
@@ -203,7 +208,7 @@
     std::int64_t received_at = 0;
 };
 
-/// Input of one tick, in the order of arrival within each kind.
+/// Input of one tick. Each list is in the order of arrival.
 struct inbox
 {
     std::vector<request_arrival> arrivals;
--- a/src/outbox.hpp
+++ b/src/outbox.hpp
@@ -15,13 +15,14 @@
 
 enum class caller_reply_kind
 {
-    /// The request is accepted; carries the parts of its id.
+    /// The request is accepted; carries the parts of the request id.
     accepted,
     /// Part of the answer.
     chunk,
-    /// End of the answer; for a plain service it carries the whole answer.
+    /// End of the answer; for a plain service it carries the complete answer.
     finished,
-    /// The request ends without a whole answer; `code` tells what is known.
+    /// The request ends without a complete answer; `code` states what is known
+    /// about its outcome.
     refused,
 };
 
@@ -31,11 +32,11 @@
     caller_reply_kind kind = caller_reply_kind::accepted;
     result_code code = result_code::ok;
     std::string message;
-    /// Parts of the request id, with `accepted`, and again when the answer
+    /// Parts of the request id: set in `accepted`, and again when the answer
     /// continues on another engine.
     std::string stream_key;
     std::string engine;
-    /// Tokens of the answer before this chunk.
+    /// Number of tokens of the answer before this chunk.
     int offset = 0;
     int tokens = 0;
     /// Text of the chunk, or body of a plain service's answer.
@@ -52,7 +53,8 @@
     std::string stream_key;
     std::string model;
     shared_text body;
-    /// Answer so far, when another engine had begun it.
+    /// Beginning of the answer when another engine generated it; empty
+    /// otherwise.
     std::string generated_text;
     int generated_tokens = 0;
     int prompt_tokens = 0;
@@ -61,14 +63,14 @@
     int max_output_tokens = 0;
     int priority = 0;
     std::uint64_t seed = 0;
-    /// Stop after prefill and keep the KV cache for export.
+    /// Makes the engine stop after prefill and keep the KV cache for export.
     bool prefill_only = false;
     /// Address of the engine to import the KV cache from; empty for none.
     std::string import_from;
     /// Stream key under which that engine holds the KV cache.
     std::string import_key;
-    /// Attach to the running stream `stream_key` from `generated_tokens` on in
-    /// place of starting one.
+    /// Attaches to the running stream `stream_key` at offset `generated_tokens`
+    /// instead of starting a new one.
     bool attach = false;
 };
 
@@ -96,12 +98,12 @@
 {
     std::string address;
     engine_order order;
-    /// End of the sender's authority; the adapter drops the call when its clock
-    /// shows this time or a later one immediately before the send.
+    /// End of the sender's authority. Immediately before the send, the adapter
+    /// reads the clock and drops the call if this time has been reached.
     instant not_after = instant::max();
 };
 
-/// Heartbeat to one peer; the peer's reply is its own heartbeat.
+/// Heartbeat to one peer; the peer replies with its own heartbeat.
 struct peer_call
 {
     std::string peer;
@@ -109,7 +111,7 @@
     heartbeat message;
 };
 
-/// Asks a peer for its configuration document.
+/// Request to a peer for its configuration document.
 struct configuration_fetch
 {
     std::string peer;
@@ -136,12 +138,13 @@
 struct log_entry
 {
     log_level level = log_level::info;
-    /// Short stable name of the event, for example "lease_taken".
+    /// Short, stable name of the event, for example "lease_taken".
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 
-/// Output of one tick; the adapters carry it out in the order of the members.
+/// Output of one tick. The adapters process the lists in the order in which
+/// they are declared.
 struct outbox
 {
     std::vector<log_entry> log_entries;
@@ -162,7 +165,7 @@
     std::vector<row_read> row_reads;
     std::vector<daemon_row_write> daemon_row_writes;
     std::vector<peer_load_send> peer_load_reports;
-    /// True once a shutdown has finished and the process may exit.
+    /// True once the shutdown is complete and the process may exit.
     bool stop_ready = false;
 };
 
--- a/src/policy_settings.hpp
+++ b/src/policy_settings.hpp
@@ -8,19 +8,19 @@
 namespace agateledge
 {
 
-/// Weights and bounds of the routing and role decisions.
+/// Weights and limits of the routing and role decisions.
 struct policy_settings
 {
-    /// Goodput (weighted requests) that a role change must gain beyond the cost
-    /// of the seconds away.
+    /// Weighted requests of goodput that a role change must gain within
+    /// `role_horizon`, net of what is lost while the engine changes its role.
     double role_change_weight = 1.0;
-    /// Most role changes an hour in one data centre; 0 turns them off.
+    /// Maximum role changes an hour in one data centre; 0 disables them.
     int role_changes_per_hour = 12;
-    /// Seconds over which the gain of a role change is counted.
+    /// Time over which the gain of a role change is predicted.
     duration role_horizon = seconds(120);
-    /// Retries allowed for each first attempt, as a share.
+    /// Retries allowed per first attempt; 0.1 allows one for ten.
     double retry_share = 0.1;
-    /// Longest time a drain waits before it moves what is left.
+    /// Maximum time a drain waits before the remaining work is moved.
     duration drain_timeout = seconds(30);
 
     auto operator<=>(policy_settings const &) const = default;
--- a/src/request_class.hpp
+++ b/src/request_class.hpp
@@ -8,23 +8,23 @@
 namespace agateledge
 {
 
-/// Kind of request with its urgency and its deadlines, set by operators.
+/// Class of requests with its priority and its deadlines, set by operators.
 struct request_class
 {
     std::string name;
     std::string service;
-    /// Rank of urgency; 0 is the most urgent.
+    /// Scheduling priority; 0 is the most urgent.
     int priority = 0;
-    /// Longest time from arrival to the first token; 0 for no bound.
+    /// Maximum time from arrival to the first token; 0 for no limit.
     duration first_token_deadline{};
-    /// Longest mean time between tokens; 0 for no bound.
+    /// Maximum mean time between tokens; 0 for no limit.
     duration token_interval_deadline{};
-    /// Longest time from arrival to the end of the answer.
+    /// Maximum time from arrival to the end of the answer; 0 for no limit.
     duration finish_deadline{};
     /// Weight of one answer in goodput.
     double weight = 1.0;
-    /// True when a request may wait past the predicted deadline in place of
-    /// being refused.
+    /// True when a request that is predicted to miss its deadline stays queued
+    /// instead of being refused.
     bool may_wait = false;
     /// Output length assumed before any answer has been observed, in tokens.
     int expected_output_tokens = 100;
--- a/src/service_definition.hpp
+++ b/src/service_definition.hpp
@@ -7,13 +7,14 @@
 namespace agateledge
 {
 
-/// Service that callers address: a model run by engines, or a plain service.
+/// Service that callers address: a model served by engines, or a plain HTTP
+/// service.
 struct service_definition
 {
     std::string name;
     /// True for a plain service reached under /v1/services/<name>/.
     bool plain = false;
-    /// Model that callers name; empty for a plain service.
+    /// Model name in the requests of callers; empty for a plain service.
     std::string model;
 
     auto operator<=>(service_definition const &) const = default;
--- a/src/shared_text.hpp
+++ b/src/shared_text.hpp
@@ -7,7 +7,8 @@
 namespace agateledge
 {
 
-/// Body shared between the listener, the tables and the calls without copies.
+/// Immutable body that the listener, the tables and the calls share without
+/// copying it.
 using shared_text = std::shared_ptr<std::string const>;
 
 } // namespace agateledge
--- a/src/table_call.hpp
+++ b/src/table_call.hpp
@@ -11,7 +11,7 @@
 namespace agateledge
 {
 
-/// System that a table operation belongs to; its reply goes back there.
+/// System that issued a table operation and receives its reply.
 enum class table_owner
 {
     lease,
@@ -22,11 +22,11 @@
     operators,
 };
 
-/// Condition of a transaction: the row has exactly this version.
+/// Condition of a transaction: the row must have exactly this version.
 struct table_condition
 {
     std::string key;
-    /// 0 requires that the row is absent.
+    /// 0 requires the row to be absent.
     std::uint64_t version = 0;
 
     auto operator<=>(table_condition const &) const = default;
@@ -41,17 +41,17 @@
     auto operator<=>(table_put const &) const = default;
 };
 
-/// One read or one transaction on the table service. It is a read when `puts`
-/// and `deletes` are empty.
+/// Operation on the table service: a read if `puts` and `deletes` are empty, a
+/// transaction otherwise.
 struct table_call
 {
     operation_number operation;
     table_owner owner = table_owner::lease;
-    /// Rows to read by key.
+    /// Keys of the rows to read.
     std::vector<std::string> keys;
-    /// Rows to read by prefix; empty for none.
+    /// Key prefix of the rows to read; empty for no read by prefix.
     std::string prefix;
-    /// Most rows that a read by prefix returns.
+    /// Maximum number of rows that a read by prefix returns.
     int limit = 100;
     std::vector<table_condition> conditions;
     std::vector<table_put> puts;
@@ -62,14 +62,14 @@
     auto operator<=>(table_call const &) const = default;
 };
 
-/// How a table operation ended.
+/// Outcome of a table operation.
 enum class table_outcome
 {
-    /// The read answered, or the transaction took effect.
+    /// The read succeeded, or the transaction took effect.
     committed,
     /// A condition did not hold; `rows` has the current rows of the conditions.
     conflict,
-    /// The operation certainly had no effect.
+    /// The operation failed and certainly had no effect.
     unavailable,
     /// The transaction may or may not have taken effect.
     unknown,
--- a/src/table_row.hpp
+++ b/src/table_row.hpp
@@ -14,7 +14,7 @@
     std::string key;
     /// JSON document; empty for an absent row.
     std::string value;
-    /// Grows with each write of the row; 0 for an absent row.
+    /// Incremented by each write of the row; 0 for an absent row.
     std::uint64_t version = 0;
 
     auto operator<=>(table_row const &) const = default;
--- a/src/tagged_id.hpp
+++ b/src/tagged_id.hpp
@@ -9,7 +9,8 @@
 namespace agateledge
 {
 
-/// Integer identifier whose type keeps identifiers of different kinds apart.
+/// Integer identifier with a type of its own for each kind of entity, so that
+/// identifiers of different kinds cannot be mixed up.
 ///
 /// @tparam Tag kind of the entity that is identified
 /// @tparam Rep underlying integer type
--- a/src/time.hpp
+++ b/src/time.hpp
@@ -6,11 +6,12 @@
 namespace agateledge
 {
 
-/// Length of time, in microseconds.
+/// Duration in microseconds.
 using duration = std::chrono::microseconds;
 
 /// Clock that the caller of `tick` reads: CLOCK_BOOTTIME in a daemon, which
-/// also advances while the process is paused, and virtual time in tests.
+/// also advances while the machine or the process is suspended, and virtual
+/// time in tests.
 struct daemon_clock
 {
     using rep = std::chrono::microseconds::rep;
@@ -20,7 +21,7 @@
     static constexpr bool is_steady = true;
 };
 
-/// Point in time of the daemon's own clock; not comparable between daemons.
+/// Point in time on the clock of this daemon; not comparable between daemons.
 using instant = daemon_clock::time_point;
 
 using std::chrono::hours;
@@ -29,13 +30,13 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// @return `value` in seconds.
+/// @return `value` in seconds
 constexpr double to_seconds(duration value)
 {
     return std::chrono::duration<double>(value).count();
 }
 
-/// @return `value` seconds, rounded towards zero to a microsecond.
+/// @return `value` seconds, rounded towards zero to a microsecond
 constexpr duration from_seconds(double value)
 {
     return std::chrono::duration_cast<duration>(
--- a/src/token_bucket.hpp
+++ b/src/token_bucket.hpp
@@ -8,12 +8,12 @@
 namespace agateledge
 {
 
-/// Budget that refills at a constant rate. It starts full.
+/// Token bucket that is refilled at a constant rate and starts full.
 class token_bucket
 {
 public:
-    /// @param rate tokens a second
-    /// @param burst most tokens that are kept
+    /// @param rate tokens added a second
+    /// @param burst capacity in tokens
     token_bucket(double rate, double burst)
         : rate_(rate), burst_(burst), tokens_(burst)
     {
@@ -21,9 +21,9 @@
 
     /// Takes tokens.
     ///
-    /// @param now time of the daemon's clock
-    /// @param tokens number to take
-    /// @return false when fewer are left; none is taken then
+    /// @param now current time, not earlier than that of the previous call
+    /// @param tokens number of tokens to take
+    /// @return false when fewer are available; then none is taken
     bool take(instant now, double tokens = 1)
     {
         refill(now);
@@ -35,14 +35,15 @@
         return true;
     }
 
-    /// Takes tokens, below zero if too few are left.
+    /// Takes tokens unconditionally; the balance may become negative.
     void force(instant now, double tokens = 1)
     {
         refill(now);
         tokens_ -= tokens;
     }
 
-    /// @return tokens that are left at `now`
+    /// @return tokens available at `now`; negative after a `force` beyond the
+    ///         balance
     double available(instant now)
     {
         refill(now);
@@ -52,9 +53,9 @@
 private:
     void refill(instant now)
     {
-        auto const passed = to_seconds(now - last_);
+        auto const elapsed_seconds = to_seconds(now - last_);
         last_ = now;
-        tokens_ = std::min(burst_, tokens_ + passed * rate_);
+        tokens_ = std::min(burst_, tokens_ + elapsed_seconds * rate_);
     }
 
     double rate_;
--- a/src/usage_table.hpp
+++ b/src/usage_table.hpp
@@ -4,7 +4,7 @@
 namespace agateledge
 {
 
-/// Use and waste that has not been flushed to the table service.
+/// Placeholder for usage records that are not yet written to the table service.
 class usage_table
 {
 };
--- a/src/world.hpp
+++ b/src/world.hpp
@@ -42,11 +42,13 @@
 namespace agateledge
 {
 
-/// All state of one daemon. The systems read and change it; it has no clock,
-/// socket or random source of its own.
+/// The complete state of one daemon. The systems, which run once a tick, read
+/// and change it. It does not read a clock, a socket or the operating system's
+/// random source, so that a tick is deterministic: the caller sets the time and
+/// the input, and `random` is seeded.
 struct world
 {
-    /// @param self who this daemon is
+    /// @param self identity of this daemon
     /// @param seed seed of the daemon's random decisions
     world(daemon_identity self, std::uint64_t seed)
         : identity(std::move(self)), random(seed)
@@ -57,12 +59,13 @@
     random_source random;
     /// Time of the current tick.
     instant now{};
-    /// Earliest time at which a system has work without new input. A system
-    /// lowers it through `wake_at`.
+    /// Time of the next tick if no input arrives before. Systems lower it
+    /// through `wake_at`.
     std::optional<instant> next_wake;
-    /// Revision in force.
+    /// Configuration in force.
     configuration config;
-    /// Written as the first revision when the table service has none.
+    /// Configuration from the settings; written as the first revision when the
+    /// table service has none.
     std::optional<configuration> initial_config;
     configuration_state config_sync;
     engine_table engines;
@@ -70,19 +73,19 @@
     endpoint_table endpoints;
     request_table requests;
     attempt_table attempts;
-    /// Requests that became `waiting` since `dispatch_requests` last ran; it
-    /// moves them to `queue`.
+    /// Requests that entered the state `waiting` since `dispatch_requests` last
+    /// ran, which moves them to `queue`.
     std::deque<request_number> waiting;
     dispatch_queue queue;
-    /// Waiting requests by the time at which they may be dispatched.
+    /// Waiting requests by the earliest time at which they may be dispatched.
     due_queue<request_number> deferred;
     claim_table claims;
     retry_budget retries;
-    /// Idempotent plain calls by the time at which they are hedged.
+    /// Idempotent calls of plain services by the time at which they are hedged.
     due_queue<request_number> hedges;
-    /// Observed latencies by plain service.
+    /// Observed latencies, by name of the plain service.
     std::map<std::string, latency_window> call_latencies;
-    /// Time of the next look at engines that are being emptied.
+    /// Time of the next check of engines that are being drained.
     instant next_drain_check{};
     lease_table leases;
     order_table orders;
@@ -98,16 +101,17 @@
     relay_state relay;
     fault_switches faults;
     decision_hooks hooks;
-    /// True from the shutdown request on.
+    /// True once a shutdown has been requested.
     bool draining = false;
     /// Time of the shutdown request.
     std::optional<instant> draining_since;
+    /// Number of the last operation on the table service.
     std::uint64_t last_operation = 0;
     inbox in;
     outbox out;
 };
 
-/// Asks for a tick at `when` at the latest.
+/// Schedules the next tick for `when` or earlier.
 inline void wake_at(world &w, instant when)
 {
     if (!w.next_wake || when < *w.next_wake)
