--- a/src/json_text.cpp
+++ b/src/json_text.cpp
@@ -10,15 +10,15 @@
 namespace
 {
 
-/// Deepest nesting that is read; jsoncpp recurses, so that a deeper document
-/// could exhaust the stack.
-constexpr int max_nesting = 64;
+/// Maximum nesting depth. The parser of jsoncpp is recursive, so a deeper
+/// document could exhaust the stack.
+constexpr int max_nesting_depth = 64;
 
 std::unique_ptr<Json::CharReader> make_reader()
 {
     Json::CharReaderBuilder builder;
     Json::CharReaderBuilder::strictMode(&builder.settings_);
-    builder["stackLimit"] = max_nesting;
+    builder["stackLimit"] = max_nesting_depth;
     builder["strictRoot"] = false;
     return std::unique_ptr<Json::CharReader>(builder.newCharReader());
 }
@@ -29,10 +29,10 @@
 {
     static Json::StreamWriterBuilder const builder = []
     {
-        Json::StreamWriterBuilder made;
-        made["indentation"] = "";
-        made["emitUTF8"] = true;
-        return made;
+        Json::StreamWriterBuilder settings;
+        settings["indentation"] = "";
+        settings["emitUTF8"] = true;
+        return settings;
     }();
     return Json::writeString(builder, value);
 }
@@ -54,7 +54,7 @@
     {
         errors = error.what();
     }
-    return make_status(result_code::invalid_request, "not JSON: " + errors);
+    return make_status(result_code::invalid_request, "invalid JSON: " + errors);
 }
 
 } // namespace agateledge
--- a/src/json_text.hpp
+++ b/src/json_text.hpp
@@ -16,8 +16,9 @@
 
 /// Parses one JSON document.
 ///
-/// @param text whole document
-/// @return the value, or `invalid_request` with the place of the fault
+/// @param text complete document
+/// @return the value, or `invalid_request` with the position of the syntax
+/// error
 absl::StatusOr<Json::Value> json_from_text(std::string_view text);
 
 } // namespace agateledge
--- a/src/result_code.cpp
+++ b/src/result_code.cpp
@@ -18,14 +18,14 @@
 {
     result_code code;
     std::string_view name;
-    int http;
+    int http_status_code;
     bool not_run;
     absl::StatusCode status;
 };
 
 using absl::StatusCode;
 
-constexpr std::array rows{
+constexpr std::array code_rows{
     code_row{result_code::ok, "ok", 200, false, StatusCode::kOk},
     code_row{result_code::invalid_request, "invalid_request", 400, true,
              StatusCode::kInvalidArgument},
@@ -87,10 +87,10 @@
              StatusCode::kInternal},
 };
 
-code_row const &row_of(result_code code)
+code_row const &find_row(result_code code)
 {
-    auto const found = std::ranges::find(rows, code, &code_row::code);
-    internal_assert(found != rows.end(), "no row for result code ",
+    auto const found = std::ranges::find(code_rows, code, &code_row::code);
+    internal_assert(found != code_rows.end(), "no row for result code ",
                     static_cast<int>(code));
     return *found;
 }
@@ -99,22 +99,22 @@
 
 std::string_view name_of(result_code code)
 {
-    return row_of(code).name;
+    return find_row(code).name;
 }
 
 bool states_not_run(result_code code)
 {
-    return row_of(code).not_run;
+    return find_row(code).not_run;
 }
 
 int http_status(result_code code)
 {
-    return row_of(code).http;
+    return find_row(code).http_status_code;
 }
 
 absl::Status make_status(result_code code, std::string_view message)
 {
-    absl::Status status(row_of(code).status,
+    absl::Status status(find_row(code).status,
                         absl::string_view(message.data(), message.size()));
     status.SetPayload(payload_type,
                       absl::Cord(std::to_string(static_cast<int>(code))));
--- a/src/result_code.hpp
+++ b/src/result_code.hpp
@@ -9,8 +9,8 @@
 namespace agateledge
 {
 
-/// Numbered results that callers, operators and logs see. The numbers are
-/// stable; docs/result-codes.md has one row for each.
+/// Result codes in replies to callers and operators and in logs. The numbers
+/// are stable; docs/result-codes.md lists them.
 enum class result_code
 {
     ok = 0,
@@ -48,17 +48,17 @@
 /// @return the stable name of `code`, as printed in logs and replies
 std::string_view name_of(result_code code);
 
-/// @return true when `code` states that the request was not run and will not
-///         be run later
+/// @return true when `code` guarantees that the request was not run and will
+///         not be run later, so that a caller may safely repeat it
 bool states_not_run(result_code code);
 
-/// @return HTTP status for `code`
+/// @return HTTP status of a reply with `code`
 int http_status(result_code code);
 
 /// Builds a status that carries `code` as a payload.
 ///
-/// @param code numbered result, not `ok`
-/// @param message text for a person, with the values that matter
+/// @param code any code except `ok`
+/// @param message human-readable reason, with the relevant values
 absl::Status make_status(result_code code, std::string_view message);
 
 /// @return the code that `make_status` stored; `internal_error` for a failed
