--- a/test/correctness/configuration_model.cpp
+++ b/test/correctness/configuration_model.cpp
@@ -30,7 +30,8 @@
     return "call " + std::to_string(call);
 }
 
-/// @return the configuration of an index row, from the rows of its sections
+/// @return the configuration whose index is in `row`, joined from the rows of
+/// its sections
 absl::StatusOr<configuration> stored_configuration(standin_table const &table,
                                                    table_row const &row)
 {
@@ -51,27 +52,29 @@
                   {"rennes-a", "rennes-a", "brest", "brest"}, seed)
 {
     deployment_.table_fault = [this](std::size_t, table_call const &call)
-    { return fault_of(call); };
+    { return table_fault_for(call); };
     deployment_.table_loses = [this](table_call const &)
     { return deployment_.random().below(2) == 0; };
     deployment_.daemon_reachable = [this](std::size_t from, std::size_t to)
     {
         return deployment_.now() >= partition_until_ ||
-               (from != partitioned_ && to != partitioned_);
+               (from != partitioned_daemon_ && to != partitioned_daemon_);
     };
     deployment_.on_operator_reply =
-        [this](std::size_t, operator_reply const &reply) { take_reply(reply); };
+        [this](std::size_t, operator_reply const &reply)
+    { record_reply(reply); };
     advance(seconds(2));
 }
 
 std::optional<table_outcome>
-configuration_model::fault_of(table_call const &call)
+configuration_model::table_fault_for(table_call const &call)
 {
     if (deployment_.now() < outage_until_)
     {
         return table_outcome::unavailable;
     }
-    if (deployment_.now() < lost_until_ && deployment_.random().below(2) == 0)
+    if (deployment_.now() < reply_loss_until_ &&
+        deployment_.random().below(2) == 0)
     {
         return call.is_write() ? table_outcome::unknown
                                : table_outcome::unavailable;
@@ -79,7 +82,8 @@
     return std::nullopt;
 }
 
-/// The change touches two places, so that half a change is seen.
+/// Changes two fields, which are stored in different documents, so that a
+/// partially applied change is detected.
 void configuration_model::propose(std::size_t daemon)
 {
     auto &virtual_daemon = deployment_.daemons()[daemon];
@@ -95,20 +99,22 @@
                           operator_call_number(call));
 }
 
-void configuration_model::take_reply(operator_reply const &reply)
+void configuration_model::record_reply(operator_reply const &reply)
 {
     ++replies_[reply.code];
     auto const call = reply.call.value();
-    if (told_.contains(call))
+    if (reported_revisions_.contains(call))
     {
-        violations_.push_back(summary_of(call) + " was answered twice");
+        violations_.push_back(summary_of(call) +
+                              " was answered more than once");
     }
     auto const text = *json_from_text(reply.text);
-    told_[call] = reply.code == result_code::ok ? text["revision"].asUInt64()
-                                                : std::uint64_t{0};
+    reported_revisions_[call] = reply.code == result_code::ok
+                                    ? text["revision"].asUInt64()
+                                    : std::uint64_t{0};
     if (reply.code == result_code::outcome_unknown)
     {
-        told_[call] = ~std::uint64_t{0};
+        reported_revisions_[call] = ~std::uint64_t{0};
     }
 }
 
@@ -135,10 +141,10 @@
         outage_until_ = now + length;
         return;
     case configuration_event::lost_answers:
-        lost_until_ = now + length;
+        reply_loss_until_ = now + length;
         return;
     case configuration_event::partition:
-        partitioned_ = target;
+        partitioned_daemon_ = target;
         partition_until_ = now + length;
         return;
     case configuration_event::wait:
@@ -159,7 +165,7 @@
 void configuration_model::settle()
 {
     auto const now = deployment_.now();
-    outage_until_ = lost_until_ = partition_until_ = now;
+    outage_until_ = reply_loss_until_ = partition_until_ = now;
     for (auto &daemon : deployment_.daemons())
     {
         daemon.paused = false;
@@ -167,19 +173,20 @@
     advance(seconds(15));
     for (auto const &daemon : deployment_.daemons())
     {
-        if (daemon.state->config.revision.value() != head_ ||
+        if (daemon.state->config.revision.value() != current_revision_ ||
             configuration_stale(*daemon.state))
         {
             violations_.push_back(daemon.state->identity.name +
                                   " did not reach revision " +
-                                  std::to_string(head_));
+                                  std::to_string(current_revision_));
         }
     }
-    check_told();
+    check_replies();
 }
 
-/// A call that was told `ok` made its revision; a refused one made none.
-void configuration_model::check_told()
+/// Checks that every call was answered, that a call answered with `ok` made the
+/// revision that was reported, and that a refused call made none.
+void configuration_model::check_replies()
 {
     for (std::uint64_t call = 1; call <= last_call_; ++call)
     {
@@ -187,14 +194,16 @@
             revisions_, [call](auto const &item)
             { return item.second.summary == summary_of(call); });
         auto const revision = made == revisions_.end() ? 0 : made->first;
-        auto const told = told_.find(call);
-        bool const unknown =
-            told != told_.end() && told->second == ~std::uint64_t{0};
-        if (told == told_.end() || (!unknown && told->second != revision))
+        auto const reported = reported_revisions_.find(call);
+        bool const unknown = reported != reported_revisions_.end() &&
+                             reported->second == ~std::uint64_t{0};
+        if (reported == reported_revisions_.end() ||
+            (!unknown && reported->second != revision))
         {
-            violations_.push_back(summary_of(call) + " made revision " +
-                                  std::to_string(revision) +
-                                  " and was told otherwise");
+            violations_.push_back(
+                summary_of(call) + " made revision " +
+                std::to_string(revision) +
+                ", which the reply to the operator does not match");
         }
     }
 }
@@ -209,46 +218,49 @@
     }
 }
 
-/// The current revision grows by one, and its sections come with it.
+/// Checks that the current revision is incremented by one at a time and that
+/// its index is stored with it.
 void configuration_model::check_store()
 {
     auto const &table = deployment_.table();
     auto const head =
         configuration_head_from_text(table.row(configuration_head_key).value);
-    if (head.revision.value() == head_)
+    if (head.revision.value() == current_revision_)
     {
         return;
     }
     auto const document = table.row(revision_key(head.revision));
-    if (head.revision.value() != head_ + 1 || document.version == 0)
+    if (head.revision.value() != current_revision_ + 1 || document.version == 0)
     {
-        violations_.push_back("revision " + std::to_string(head_) +
+        violations_.push_back("revision " + std::to_string(current_revision_) +
                               " was followed by " +
                               std::to_string(head.revision.value()));
     }
-    head_ = head.revision.value();
-    revisions_[head_] = *stored_configuration(table, document);
+    current_revision_ = head.revision.value();
+    revisions_[current_revision_] = *stored_configuration(table, document);
 }
 
-/// A daemon's revision never goes back and is the stored one as a whole.
+/// Checks that the revision of a daemon never decreases and that its
+/// configuration equals the stored one.
 void configuration_model::check_daemons()
 {
     for (std::size_t i = 0; i < daemon_count; ++i)
     {
         auto const &config = deployment_.daemons()[i].state->config;
         auto const revision = config.revision.value();
-        if (revision < seen_[i])
+        if (revision < daemon_revisions_[i])
         {
-            violations_.emplace_back("a daemon's revision went back");
+            violations_.emplace_back("the revision of a daemon decreased");
         }
-        if (revision != seen_[i] && head_ != 0 &&
+        if (revision != daemon_revisions_[i] && current_revision_ != 0 &&
             (!revisions_.contains(revision) ||
              revisions_.at(revision) != config))
         {
-            violations_.push_back("a daemon has another revision " +
-                                  std::to_string(revision));
+            violations_.push_back(
+                "a daemon's configuration differs from the stored revision " +
+                std::to_string(revision));
         }
-        seen_[i] = revision;
+        daemon_revisions_[i] = revision;
     }
 }
 
--- a/test/correctness/configuration_model_test.cpp
+++ b/test/correctness/configuration_model_test.cpp
@@ -1,6 +1,7 @@
-// Guards against a change that takes effect in part, is lost after it was
-// confirmed, reverts, or does not reach every daemon, when operators race each
-// other through outages, lost answers, pauses and partitions.
+// Guards against a configuration change that takes effect in part, is lost
+// after it was confirmed, is reverted, or does not reach every daemon. This
+// could happen when operators propose changes concurrently during outages, lost
+// replies, pauses and partitions.
 #include "apply_configuration.hpp"
 #include "configuration_json.hpp"
 #include "configuration_model.hpp"
@@ -57,7 +58,11 @@
     EXPECT_GT(replies[result_code::store_unavailable], 10);
 }
 
-std::string revert(bool allow)
+/// Sends a daemon an older revision than the one in force.
+///
+/// @param allow_rollback disables the check that rejects it
+/// @return the violated invariant, or an empty string
+std::string deliver_old_revision(bool allow_rollback)
 {
     throwing_assertions const assertions;
     configuration config;
@@ -66,7 +71,7 @@
     deployment.run_until(instant(seconds(1)));
     config.revision = revision_number(3);
     auto &state = *deployment.daemons()[0].state;
-    state.faults.allow_revision_rollback = allow;
+    state.faults.allow_revision_rollback = allow_rollback;
     state.in.configuration_documents.push_back(
         {"daemon-9", configuration_to_json(config), 0});
     try
@@ -82,12 +87,12 @@
 
 TEST(configuration_model, a_late_document_does_not_revert_the_revision)
 {
-    EXPECT_EQ(revert(false), "");
+    EXPECT_EQ(deliver_old_revision(false), "");
 }
 
 TEST(configuration_model, the_invariant_fails_when_a_rollback_is_allowed)
 {
-    EXPECT_EQ(revert(true), "revision 3 in force after 4");
+    EXPECT_EQ(deliver_old_revision(true), "revision 3 in force after 4");
 }
 
 } // namespace
--- a/test/correctness/configuration_sections_test.cpp
+++ b/test/correctness/configuration_sections_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a section split that loses or reorders parts of a
-// configuration, or that makes a small change touch many sections.
+// Guards against a split into sections that loses parts of a configuration, or
+// that makes a small change rewrite many sections.
 #include "configuration_sections.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using namespace agateledge;
 
-constexpr int accounts = 26000;
+constexpr int account_count = 26000;
 
 configuration large_configuration()
 {
@@ -24,7 +24,7 @@
         config.engines[i].name = "engine-" + std::to_string(i);
         config.engines[i].data_centre = "dc-" + std::to_string(i % 11);
     }
-    for (int i = 0; i < accounts; ++i)
+    for (int i = 0; i < account_count; ++i)
     {
         config.callers.push_back({"caller-" + std::to_string(i), "account",
                                   std::string(64, 'a'), 1, 1});
@@ -62,13 +62,13 @@
     auto config = large_configuration();
     section_documents documents;
     auto const before = split_configuration(config, documents);
-    auto const known = documents.size();
+    auto const document_count = documents.size();
     config.callers[5].requests_per_second = 2;
     auto const after = split_configuration(config, documents);
-    EXPECT_EQ(documents.size(), known + 1);
-    // A change must fit the control budget of 8 KB/s at 2,100 changes a day:
-    // 8 KB/s * 86,400 s / 2,100 = 329 KB for a change.
-    constexpr std::size_t most_bytes = 329000;
+    EXPECT_EQ(documents.size(), document_count + 1);
+    // The budget for control traffic is 8 KB/s. With 2,100 changes a day, that
+    // is 8 KB/s * 86,400 s / 2,100 = 329 KB for a change.
+    constexpr std::size_t max_change_bytes = 329000;
     std::size_t bytes = configuration_index_to_json(after).size();
     for (auto const &[name, digest] : after.sections)
     {
@@ -77,11 +77,12 @@
             bytes += documents.at(digest)->size();
         }
     }
-    EXPECT_LT(bytes, most_bytes);
+    EXPECT_LT(bytes, max_change_bytes);
 }
 
-// Guards against an empty configuration in force, after which every request was
-// refused for an unknown model, when the row holds another kind of document.
+// Guards against putting an empty configuration in force when the row holds
+// another kind of document. Every request was then refused for an unknown
+// model.
 TEST(configuration_sections, an_index_without_sections_is_refused)
 {
     EXPECT_FALSE(configuration_index_from_json(R"({"revision":3})").ok());
--- a/test/correctness/fixed_seed_check.hpp
+++ b/test/correctness/fixed_seed_check.hpp
@@ -13,7 +13,8 @@
 namespace agateledge
 {
 
-/// Makes failed assertions of the program fail the running case.
+/// While it exists, a failed `internal_assert` throws, which fails the running
+/// test case instead of ending the process.
 class throwing_assertions
 {
 public:
@@ -27,17 +28,19 @@
     throwing_assertions &operator=(throwing_assertions const &) = delete;
 };
 
-/// `inRange` alone draws only small numbers in the first cases.
+/// Generates integers in [0, `end`) at the full range in every case. `inRange`
+/// alone draws only small numbers in the first cases.
 inline rc::Gen<int> whole_range(int end)
 {
     return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, end));
 }
 
-/// Runs a RapidCheck property with a fixed seed, so that the verdict is the
-/// same every time.
+/// Runs a RapidCheck property with a fixed seed, so that every run has the same
+/// result.
 ///
-/// @param shrink whether a failing case is reduced before it is reported
-/// @return the message of the failure, or nothing
+/// @param cases number of generated cases
+/// @param shrink whether a failing case is minimised before it is reported
+/// @return the message of the failure, or an empty string
 template <class Property>
 std::string run_with_seed(std::uint64_t seed, int cases, Property &&property,
                           bool shrink = true)
--- a/test/correctness/transaction_test.cpp
+++ b/test/correctness/transaction_test.cpp
@@ -1,5 +1,6 @@
 // Guards against a transaction that is applied in part, and against a change
-// that leaves a service with classes and nothing to serve them.
+// that leaves a service with request classes but without an engine or endpoint
+// to serve them.
 #include "apply_statement.hpp"
 #include "parse_statement.hpp"
 #include "result_code.hpp"
