--- a/src/caller_exchange.cpp
+++ b/src/caller_exchange.cpp
@@ -20,9 +20,9 @@
 {
 }
 
-void caller_exchange::await_answer(answer_shape shape)
+void caller_exchange::await_answer(answer_format format)
 {
-    shape_ = std::move(shape);
+    format_ = std::move(format);
     paused_ = true;
     soup_server_message_pause(message());
 }
@@ -59,7 +59,7 @@
         write_chunk(reply);
         return;
     case caller_reply_kind::finished:
-        if (shape_.writer)
+        if (format_.writer)
         {
             finish_completion(reply);
             return;
@@ -74,12 +74,12 @@
 
 void caller_exchange::begin_stream(std::string const &id, int offset)
 {
-    if (!shape_.writer)
+    if (!format_.writer)
     {
         return;
     }
-    shape_.writer->set_id(id);
-    if (!shape_.stream)
+    format_.writer->set_id(id);
+    if (!format_.stream)
     {
         return;
     }
@@ -93,15 +93,15 @@
         soup_message_headers_replace(headers, id_header, id.c_str());
         soup_message_body_set_accumulate(
             soup_server_message_get_response_body(message()), FALSE);
-        tokens_ = offset;
+        output_tokens_ = offset;
     }
-    write(shape_.writer->first_event(tokens_));
+    write(format_.writer->first_event(output_tokens_));
 }
 
 void caller_exchange::write(std::string_view text)
 {
-    pending_ += text;
-    buffered_ += static_cast<std::int64_t>(text.size());
+    pending_events_ += text;
+    buffered_bytes_ += static_cast<std::int64_t>(text.size());
 }
 
 void caller_exchange::flush()
@@ -111,11 +111,11 @@
         return;
     }
     auto *body = soup_server_message_get_response_body(message());
-    if (!pending_.empty())
+    if (!pending_events_.empty())
     {
-        soup_message_body_append(body, SOUP_MEMORY_COPY, pending_.data(),
-                                 pending_.size());
-        pending_.clear();
+        soup_message_body_append(body, SOUP_MEMORY_COPY, pending_events_.data(),
+                                 pending_events_.size());
+        pending_events_.clear();
     }
     if (answered_)
     {
@@ -126,37 +126,38 @@
 
 void caller_exchange::write_chunk(caller_reply const &reply)
 {
-    tokens_ = reply.offset + reply.tokens;
-    if (!shape_.writer)
+    output_tokens_ = reply.offset + reply.tokens;
+    if (!format_.writer)
     {
         return;
     }
     if (!streaming_)
     {
-        text_ += reply.text;
+        collected_text_ += reply.text;
         return;
     }
-    write(shape_.writer->chunk_event(reply.text, tokens_));
+    write(format_.writer->chunk_event(reply.text, output_tokens_));
 }
 
 void caller_exchange::finish_completion(caller_reply const &reply)
 {
-    tokens_ = reply.offset;
-    auto const &writer = *shape_.writer;
-    bool const cut = tokens_ >= shape_.max_output_tokens;
-    auto const *reason = cut ? "length" : "stop";
+    output_tokens_ = reply.offset;
+    auto const &writer = *format_.writer;
+    bool const reached_limit = output_tokens_ >= format_.max_output_tokens;
+    auto const *reason = reached_limit ? "length" : "stop";
     if (!streaming_)
     {
         auto *headers = soup_server_message_get_response_headers(message());
         soup_message_headers_replace(headers, id_header, writer.id().c_str());
         answer(http_ok, json_type,
-               writer.document(text_, reason, shape_.prompt_tokens, tokens_));
+               writer.document(collected_text_, reason, format_.prompt_tokens,
+                               output_tokens_));
         return;
     }
-    write(writer.end_event(reason, tokens_));
-    if (shape_.include_usage)
+    write(writer.end_event(reason, output_tokens_));
+    if (format_.include_usage)
     {
-        write(writer.usage_event(shape_.prompt_tokens, tokens_));
+        write(writer.usage_event(format_.prompt_tokens, output_tokens_));
     }
     write(done_event);
     answered_ = true;
@@ -175,7 +176,7 @@
         return;
     }
     answered_ = true;
-    buffered_ += static_cast<std::int64_t>(body.size());
+    buffered_bytes_ += static_cast<std::int64_t>(body.size());
     soup_server_message_set_status(message(), static_cast<guint>(status),
                                    nullptr);
     soup_server_message_set_response(message(), std::string(type).c_str(),
@@ -187,9 +188,9 @@
     }
 }
 
-void caller_exchange::wrote(std::int64_t bytes)
+void caller_exchange::record_written(std::int64_t bytes)
 {
-    buffered_ -= bytes;
+    buffered_bytes_ -= bytes;
 }
 
 } // namespace agateledge
--- a/src/caller_exchange.hpp
+++ b/src/caller_exchange.hpp
@@ -16,10 +16,10 @@
 namespace agateledge
 {
 
-/// How the answer to one caller is written.
-struct answer_shape
+/// Format of the answer to one request.
+struct answer_format
 {
-    /// Set for a model request.
+    /// Set for a model request only.
     std::optional<completion_writer> writer;
     bool stream = false;
     bool include_usage = false;
@@ -38,44 +38,47 @@
 
     /// Name of the authenticated caller.
     std::string caller;
-    /// Number of the request; 0 before it is given to the systems.
+    /// Number of the request; 0 until the request is submitted to the daemon.
     request_number request;
-    /// Bytes of the body that have arrived.
+    /// Bytes of the request body received so far.
     std::int64_t body_bytes = 0;
-    /// Key of the engine's stream that feeds the answer.
+    /// Key of the engine stream that the answer is read from.
     std::string stream_key;
-    /// True while the caller reads too slowly and the stream is held.
-    bool held = false;
+    /// True while the caller reads too slowly and reading from the engine
+    /// stream is paused.
+    bool stalled = false;
 
-    /// Waits for the systems: the message is paused until `reply`.
-    void await_answer(answer_shape shape);
+    /// Pauses the message until `reply` is called.
+    void await_answer(answer_format format);
 
-    /// Answers with an error, or ends a stream that has begun with one.
+    /// Answers with an error. A stream that has begun ends with an error event.
     void refuse(result_code code, std::string_view message);
 
     /// Answers with an error under a status other than that of `code`.
     void refuse_with_status(int status, result_code code,
                             std::string_view message);
 
-    /// Takes what the systems answered; the parts of a stream wait for `flush`.
+    /// Applies a reply of the daemon. Events of a stream are buffered until
+    /// `flush`.
     ///
     /// @param reply reply to this request
-    /// @param id signed id of the request, with `accepted`
+    /// @param id signed id of the request; used by `accepted` replies only
     void reply(caller_reply const &reply, std::string const &id);
 
-    /// Gives the parts of a stream to the connection.
+    /// Passes the buffered events of a stream to the connection.
     void flush();
 
-    /// Counts bytes that were written to the connection.
-    void wrote(std::int64_t bytes);
+    /// Subtracts bytes that were written to the connection from
+    /// `buffered_bytes`.
+    void record_written(std::int64_t bytes);
 
-    /// @return answer bytes that wait for the caller to read
-    std::int64_t buffered_bytes() const { return buffered_; }
+    /// @return bytes of the answer that are not yet written to the connection
+    std::int64_t buffered_bytes() const { return buffered_bytes_; }
 
-    /// @return true once the whole answer has been given to the connection
+    /// @return true once the complete answer has been produced
     bool answered() const { return answered_; }
 
-    /// @return true while the systems work on the request
+    /// @return true while the daemon works on the request
     bool open() const { return request.value() != 0 && !answered_; }
 
 private:
@@ -87,12 +90,13 @@
     void answer(int status, std::string_view type, std::string_view body);
 
     gobject_ptr<SoupServerMessage> message_;
-    answer_shape shape_;
-    std::string text_;
-    /// Events that `flush` will write.
-    std::string pending_;
-    int tokens_ = 0;
-    std::int64_t buffered_ = 0;
+    answer_format format_;
+    /// Text of an answer that is sent as one document.
+    std::string collected_text_;
+    /// Events that `flush` has yet to write.
+    std::string pending_events_;
+    int output_tokens_ = 0;
+    std::int64_t buffered_bytes_ = 0;
     bool paused_ = false;
     bool streaming_ = false;
     bool answered_ = false;
--- a/src/caller_listener.cpp
+++ b/src/caller_listener.cpp
@@ -19,9 +19,9 @@
 constexpr int http_not_found = 404;
 constexpr int http_method_not_allowed = 405;
 constexpr int http_header_too_large = 431;
-/// Time for which a connection may stay open between two requests.
-constexpr duration keep_alive_time = seconds(75);
-constexpr std::size_t max_key_bytes = 256;
+/// Time for which an idle connection is kept open between two requests.
+constexpr duration keep_alive_timeout = seconds(75);
+constexpr std::size_t max_idempotency_key_bytes = 256;
 constexpr std::string_view service_prefix = "/v1/services/";
 constexpr std::string_view outcome_prefix = "/outcomes/";
 
@@ -45,16 +45,17 @@
     return text ? std::string(text.get()) : std::string();
 }
 
-answer_shape shape_of(model_request const &request, completion_kind kind)
+answer_format answer_format_of(model_request const &request,
+                               completion_kind kind)
 {
-    answer_shape shape;
-    shape.writer.emplace(kind, request.arrival.model,
-                         static_cast<std::int64_t>(std::time(nullptr)));
-    shape.stream = request.stream;
-    shape.include_usage = request.include_usage;
-    shape.prompt_tokens = request.arrival.prompt_tokens;
-    shape.max_output_tokens = request.arrival.max_output_tokens;
-    return shape;
+    answer_format format;
+    format.writer.emplace(kind, request.arrival.model,
+                          static_cast<std::int64_t>(std::time(nullptr)));
+    format.stream = request.stream;
+    format.include_usage = request.include_usage;
+    format.prompt_tokens = request.arrival.prompt_tokens;
+    format.max_output_tokens = request.arrival.max_output_tokens;
+    return format;
 }
 
 } // namespace
@@ -73,10 +74,11 @@
     handlers.on_request = [this](caller_exchange &exchange, char const *path)
     { route(exchange, path); };
     handlers.on_written = [this](caller_exchange &exchange, std::int64_t bytes)
-    { wrote(exchange, bytes); };
+    { record_written(exchange, bytes); };
     handlers.on_peer_closed = [this](caller_exchange &exchange)
-    { peer_closed(exchange); };
-    handlers.on_end = [this](caller_exchange &exchange) { end(exchange); };
+    { handle_peer_closed(exchange); };
+    handlers.on_end = [this](caller_exchange &exchange)
+    { handle_end(exchange); };
 }
 
 absl::Status caller_listener::start(std::string const &address,
@@ -88,8 +90,8 @@
 void caller_listener::check_headers(caller_exchange &exchange)
 {
     auto *message = exchange.message();
-    gate().expect_within(server_.connection_of(exchange),
-                         limits_.request_timeout);
+    gate().set_deadline(server_.connection_of(exchange),
+                        limits_.request_timeout);
     auto const *uri = soup_server_message_get_uri(message);
     bool const health =
         uri != nullptr &&
@@ -115,7 +117,7 @@
     }
     if (exchange.answered())
     {
-        drop_request_body(message);
+        discard_request_body(message);
         close_after_answer(message);
     }
 }
@@ -136,12 +138,12 @@
         return;
     }
     auto *key = server_.connection_of(exchange);
-    gate().expect_nothing(key);
+    gate().clear_deadline(key);
     if (gate().peer_closed(key))
     {
         exchange.refuse(result_code::invalid_request,
-                        "the connection was closed for sending before the "
-                        "answer");
+                        "the client closed its side of the connection before "
+                        "the answer");
         close_after_answer(exchange.message());
         return;
     }
@@ -154,12 +156,12 @@
     auto const method = method_of(exchange.message());
     if (path == "/healthz")
     {
-        take_health(exchange);
+        answer_health(exchange);
         return;
     }
     if (path.starts_with(service_prefix))
     {
-        take_service(exchange, path.substr(service_prefix.size()));
+        accept_service(exchange, path.substr(service_prefix.size()));
         return;
     }
     bool const chat = path == "/v1/chat/completions";
@@ -176,11 +178,11 @@
                                     "the method must be POST");
         return;
     }
-    take_completion(exchange,
-                    chat ? completion_kind::chat : completion_kind::text);
+    accept_completion(exchange,
+                      chat ? completion_kind::chat : completion_kind::text);
 }
 
-void caller_listener::take_health(caller_exchange &exchange)
+void caller_listener::answer_health(caller_exchange &exchange)
 {
     if (state_.draining)
     {
@@ -193,8 +195,8 @@
     exchange.reply(reply, {});
 }
 
-void caller_listener::take_completion(caller_exchange &exchange,
-                                      completion_kind kind)
+void caller_listener::accept_completion(caller_exchange &exchange,
+                                        completion_kind kind)
 {
     auto request = parse_model_request(kind, request_body(exchange.message()),
                                        exchange.caller);
@@ -205,16 +207,16 @@
                         {message.data(), message.size()});
         return;
     }
-    if (!take_resume(exchange, request->stream, request->arrival))
+    if (!read_resume_point(exchange, request->stream, request->arrival))
     {
         return;
     }
-    exchange.await_answer(shape_of(*request, kind));
+    exchange.await_answer(answer_format_of(*request, kind));
     submit(exchange, std::move(request->arrival));
 }
 
-bool caller_listener::take_resume(caller_exchange &exchange, bool stream,
-                                  request_arrival &arrival)
+bool caller_listener::read_resume_point(caller_exchange &exchange, bool stream,
+                                        request_arrival &arrival)
 {
     auto const text = header(exchange.message(), "Last-Event-ID");
     if (text.empty())
@@ -232,8 +234,8 @@
     return true;
 }
 
-void caller_listener::take_service(caller_exchange &exchange,
-                                   std::string_view rest)
+void caller_listener::accept_service(caller_exchange &exchange,
+                                     std::string_view rest)
 {
     auto const method = method_of(exchange.message());
     if (method != "POST" && method != "GET")
@@ -259,10 +261,11 @@
         arrival.idempotency_key = unescape(path.substr(outcome_prefix.size()));
     }
     if (arrival.service.empty() ||
-        arrival.idempotency_key.size() > max_key_bytes)
+        arrival.idempotency_key.size() > max_idempotency_key_bytes)
     {
         exchange.refuse(result_code::invalid_request,
-                        "the service name is missing or the key is too long");
+                        "the service name is missing or the idempotency key "
+                        "is too long");
         return;
     }
     arrival.body =
@@ -294,10 +297,10 @@
         id = sign_request_id(
             {state_.identity.data_centre, reply.engine, reply.stream_key},
             exchange.caller, keys_);
-        bool const held = exchange.held;
-        set_held(exchange, false);
+        bool const stalled = exchange.stalled;
+        set_stalled(exchange, false);
         exchange.stream_key = reply.stream_key;
-        set_held(exchange, held);
+        set_stalled(exchange, stalled);
     }
     exchange.reply(reply, id);
     replied_.push_back(reply.request);
@@ -318,88 +321,90 @@
 void caller_listener::flush(caller_exchange &exchange)
 {
     exchange.flush();
-    update_hold(exchange);
+    update_backpressure(exchange);
     if (exchange.answered())
     {
-        set_held(exchange, false);
+        set_stalled(exchange, false);
         by_request_.erase(exchange.request);
     }
 }
 
-void caller_listener::update_hold(caller_exchange &exchange)
+void caller_listener::update_backpressure(caller_exchange &exchange)
 {
     auto *key = server_.connection_of(exchange);
     if (exchange.buffered_bytes() <= 0)
     {
-        gate().expect_nothing(key);
-        set_held(exchange, false);
+        gate().clear_deadline(key);
+        set_stalled(exchange, false);
         return;
     }
-    gate().expect_within(key, reader_timeout);
+    gate().set_deadline(key, reader_timeout);
     if (exchange.buffered_bytes() > limits_.max_buffered_bytes)
     {
-        set_held(exchange, true);
+        set_stalled(exchange, true);
     }
 }
 
-void caller_listener::wrote(caller_exchange &exchange, std::int64_t bytes)
+void caller_listener::record_written(caller_exchange &exchange,
+                                     std::int64_t bytes)
 {
-    exchange.wrote(bytes);
-    update_hold(exchange);
+    exchange.record_written(bytes);
+    update_backpressure(exchange);
 }
 
-void caller_listener::set_held(caller_exchange &exchange, bool held)
+void caller_listener::set_stalled(caller_exchange &exchange, bool stalled)
 {
-    if (std::exchange(exchange.held, held) == held ||
+    if (std::exchange(exchange.stalled, stalled) == stalled ||
         exchange.stream_key.empty())
     {
         return;
     }
-    if (held)
+    if (stalled)
     {
-        held_keys_.insert(exchange.stream_key);
+        stalled_streams_.insert(exchange.stream_key);
     }
     else
     {
-        held_keys_.erase(exchange.stream_key);
+        stalled_streams_.erase(exchange.stream_key);
     }
     if (on_hold)
     {
-        on_hold(exchange.stream_key, held);
+        on_hold(exchange.stream_key, stalled);
     }
 }
 
 bool caller_listener::is_held(std::string const &stream_key) const
 {
-    return held_keys_.contains(stream_key);
+    return stalled_streams_.contains(stream_key);
 }
 
-void caller_listener::peer_closed(caller_exchange &exchange)
+void caller_listener::handle_peer_closed(caller_exchange &exchange)
 {
     if (!exchange.open())
     {
         return;
     }
-    depart(exchange);
-    gate().cut(server_.connection_of(exchange));
-    // Ends the message; nothing reaches the caller any more.
-    exchange.refuse(result_code::invalid_request, "the caller has left");
+    report_departure(exchange);
+    gate().shut_down(server_.connection_of(exchange));
+    // Marks the exchange as answered; the connection is already shut down, so
+    // the caller receives nothing.
+    exchange.refuse(result_code::invalid_request, "the client disconnected");
     exchange.flush();
 }
 
-void caller_listener::depart(caller_exchange &exchange)
+void caller_listener::report_departure(caller_exchange &exchange)
 {
-    set_held(exchange, false);
+    set_stalled(exchange, false);
     if (by_request_.erase(exchange.request) != 0)
     {
         loop_.input().departures.push_back({exchange.request});
     }
 }
 
-void caller_listener::end(caller_exchange &exchange)
+void caller_listener::handle_end(caller_exchange &exchange)
 {
-    depart(exchange);
-    gate().expect_within(server_.connection_of(exchange), keep_alive_time);
+    report_departure(exchange);
+    gate().set_deadline(server_.connection_of(exchange), keep_alive_timeout);
 }
 
 } // namespace agateledge
--- a/src/caller_listener.hpp
+++ b/src/caller_listener.hpp
@@ -27,40 +27,42 @@
 struct request_arrival;
 struct world;
 
-/// HTTP listener of the callers: it turns requests into arrivals and replies
-/// into answers.
+/// HTTP listener for callers. Parses and authenticates requests, queues them as
+/// arrivals in the daemon's inbox, and writes the daemon's replies as HTTP
+/// answers.
 class caller_listener
 {
 public:
-    /// @param state the daemon, read for its configuration; outlives this
-    /// @param loop takes arrivals and departures; outlives this
-    /// @param keys sign request ids; outlive this
-    /// @param limits bounds on what callers may send
+    /// @param state daemon state, read for the configuration; must outlive this
+    ///        object
+    /// @param loop receives arrivals and departures; must outlive this object
+    /// @param keys keys that sign request ids; must outlive this object
+    /// @param limits limits on requests and connections
     caller_listener(world const &state, daemon_loop &loop,
                     signing_keys const &keys, listener_limits limits);
     caller_listener(caller_listener const &) = delete;
     caller_listener &operator=(caller_listener const &) = delete;
 
-    /// Begins to listen; see `connection_gate::start`.
+    /// Starts listening; see `connection_gate::start`.
     absl::Status start(std::string const &address, tls_settings const &tls);
 
-    /// Takes what the systems answered; `flush` writes it.
+    /// Queues a reply of the daemon for its caller; `flush` writes it.
     void reply(caller_reply const &reply);
 
-    /// Writes the replies that were taken since the last call, those to one
-    /// caller together.
+    /// Writes the replies queued since the last call. Replies to one caller are
+    /// written together.
     void flush();
 
     connection_gate &gate() { return server_.gate(); }
 
-    /// @return true while the reader of that engine stream has stalled
+    /// @return true while the caller that reads this engine stream has stalled
     bool is_held(std::string const &stream_key) const;
 
-    /// @return exchanges that wait for an answer or are being answered
+    /// @return number of exchanges whose answer is not yet complete
     std::size_t open_exchanges() const { return by_request_.size(); }
 
-    /// Called when the reader of an engine stream stalls (true) or has drained
-    /// (false).
+    /// Called when the caller that reads an engine stream stalls (true) or has
+    /// read all buffered bytes (false).
     std::function<void(std::string const &stream_key, bool hold)> on_hold;
 
 private:
@@ -68,19 +70,19 @@
     void count_body(caller_exchange &exchange, std::int64_t bytes);
     void route(caller_exchange &exchange, std::string_view path);
     void route_path(caller_exchange &exchange, std::string_view path);
-    void take_completion(caller_exchange &exchange, completion_kind kind);
-    void take_service(caller_exchange &exchange, std::string_view rest);
-    void take_health(caller_exchange &exchange);
-    bool take_resume(caller_exchange &exchange, bool stream,
-                     request_arrival &arrival);
+    void accept_completion(caller_exchange &exchange, completion_kind kind);
+    void accept_service(caller_exchange &exchange, std::string_view rest);
+    void answer_health(caller_exchange &exchange);
+    bool read_resume_point(caller_exchange &exchange, bool stream,
+                           request_arrival &arrival);
     void submit(caller_exchange &exchange, request_arrival arrival);
-    void wrote(caller_exchange &exchange, std::int64_t bytes);
-    void set_held(caller_exchange &exchange, bool held);
-    void update_hold(caller_exchange &exchange);
+    void record_written(caller_exchange &exchange, std::int64_t bytes);
+    void set_stalled(caller_exchange &exchange, bool stalled);
+    void update_backpressure(caller_exchange &exchange);
     void flush(caller_exchange &exchange);
-    void end(caller_exchange &exchange);
-    void depart(caller_exchange &exchange);
-    void peer_closed(caller_exchange &exchange);
+    void handle_end(caller_exchange &exchange);
+    void report_departure(caller_exchange &exchange);
+    void handle_peer_closed(caller_exchange &exchange);
 
     world const &state_;
     daemon_loop &loop_;
@@ -89,9 +91,10 @@
     caller_directory directory_;
     exchange_server<caller_exchange> server_;
     std::unordered_map<request_number, caller_exchange *> by_request_;
-    /// Requests with replies that have not been written.
+    /// Requests with replies that `flush` has yet to write.
     std::vector<request_number> replied_;
-    std::unordered_set<std::string> held_keys_;
+    /// Keys of the engine streams whose caller has stalled.
+    std::unordered_set<std::string> stalled_streams_;
     std::uint64_t last_request_ = 0;
 };
 
--- a/src/connection_gate.cpp
+++ b/src/connection_gate.cpp
@@ -23,26 +23,27 @@
 namespace
 {
 
-constexpr guint sweep_interval_ms = 500;
+constexpr guint deadline_check_interval_ms = 500;
 constexpr int listen_backlog = 1024;
 
-absl::Status settings_fault(std::string const &what, GError *error)
+absl::Status settings_error(std::string const &what, GError *error)
 {
     gerror_ptr const owned(error);
     return make_status(result_code::settings_invalid,
                        what + ": " + (owned ? owned->message : "invalid"));
 }
 
-/// An answer is sent in small parts that must not wait for each other.
-void disable_delay(GSocketConnection *stream)
+/// Disables Nagle's algorithm, which would delay the small parts of a streamed
+/// answer.
+void disable_nagle(GSocketConnection *stream)
 {
     g_socket_set_option(g_socket_connection_get_socket(stream), IPPROTO_TCP,
                         TCP_NODELAY, 1, nullptr);
 }
 
-/// libsoup closes a connection after one request unless the server listens
-/// itself. This gives it a listening socket that no caller knows: a Unix socket
-/// under a name that the kernel chooses.
+/// libsoup closes a connection after one request unless the server has a
+/// listener of its own. This adds one that no client connects to: a Unix socket
+/// with a name that the kernel chooses.
 void add_placeholder_listener(SoupServer *server)
 {
     auto const descriptor = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -78,15 +79,15 @@
         return G_SOURCE_CONTINUE;
     }
 
-    static gboolean sweep(gpointer self)
+    static gboolean shut_down_expired(gpointer self)
     {
-        static_cast<connection_gate *>(self)->sweep();
+        static_cast<connection_gate *>(self)->shut_down_expired();
         return G_SOURCE_CONTINUE;
     }
 
     static void destroyed(gpointer self, GObject *stream)
     {
-        static_cast<connection_gate *>(self)->forget(stream);
+        static_cast<connection_gate *>(self)->remove_connection(stream);
     }
 };
 
@@ -97,7 +98,8 @@
     g_socket_service_stop(service_.get());
     add_placeholder_listener(server);
     epoll_source_ = g_unix_fd_add(epoll_, G_IO_IN, callbacks::peer_event, this);
-    sweep_source_ = g_timeout_add(sweep_interval_ms, callbacks::sweep, this);
+    deadline_source_ = g_timeout_add(deadline_check_interval_ms,
+                                     callbacks::shut_down_expired, this);
 }
 
 connection_gate::~connection_gate()
@@ -105,7 +107,7 @@
     stop();
     g_signal_handlers_disconnect_by_data(service_.get(), this);
     g_source_remove(epoll_source_);
-    g_source_remove(sweep_source_);
+    g_source_remove(deadline_source_);
     for (auto const &[stream, key] : by_stream_)
     {
         g_object_weak_unref(stream, callbacks::destroyed, this);
@@ -125,7 +127,7 @@
     auto const local = parse_socket_address(address);
     if (!local)
     {
-        return settings_fault("address " + address, nullptr);
+        return settings_error("address " + address, nullptr);
     }
     GSocketAddress *effective = nullptr;
     GError *error = nullptr;
@@ -136,7 +138,7 @@
                                       G_SOCKET_PROTOCOL_TCP, nullptr,
                                       &effective, &error) == FALSE)
     {
-        return settings_fault("listen on " + address, error);
+        return settings_error("cannot listen on " + address, error);
     }
     gobject_ptr<GSocketAddress> const bound(effective);
     port_ = g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(effective));
@@ -157,7 +159,8 @@
         tls_.certificate_file.c_str(), tls_.key_file.c_str(), &error);
     if (certificate == nullptr)
     {
-        return settings_fault("certificate " + tls_.certificate_file, error);
+        return settings_error(
+            "cannot load certificate " + tls_.certificate_file, error);
     }
     certificate_.reset(certificate);
     return absl::OkStatus();
@@ -183,7 +186,7 @@
     {
         return;
     }
-    disable_delay(stream);
+    disable_nagle(stream);
     connection item;
     item.remote.reset(remote);
     item.stream = stream;
@@ -192,11 +195,11 @@
     by_stream_.emplace(G_OBJECT(stream), remote);
     g_object_weak_ref(G_OBJECT(stream), callbacks::destroyed, this);
     watch_peer(stream, remote);
-    hand_over(stream, remote);
+    pass_to_server(stream, remote);
 }
 
-void connection_gate::hand_over(GSocketConnection *stream,
-                                GSocketAddress *remote)
+void connection_gate::pass_to_server(GSocketConnection *stream,
+                                     GSocketAddress *remote)
 {
     gobject_ptr<GSocketAddress> const local(
         g_socket_connection_get_local_address(stream, nullptr));
@@ -227,9 +230,9 @@
 
 void connection_gate::read_peer_events()
 {
-    constexpr int most = 64;
-    std::array<epoll_event, most> events{};
-    auto const count = epoll_wait(epoll_, events.data(), most, 0);
+    constexpr int max_events = 64;
+    std::array<epoll_event, max_events> events{};
+    auto const count = epoll_wait(epoll_, events.data(), max_events, 0);
     std::for_each_n(events.begin(), std::max(count, 0),
                     [this](epoll_event const &event)
                     {
@@ -248,7 +251,7 @@
                     });
 }
 
-void connection_gate::expect_within(connection_key key, duration time)
+void connection_gate::set_deadline(connection_key key, duration time)
 {
     auto const found = connections_.find(key);
     if (found != connections_.end())
@@ -257,7 +260,7 @@
     }
 }
 
-void connection_gate::expect_nothing(connection_key key)
+void connection_gate::clear_deadline(connection_key key)
 {
     auto const found = connections_.find(key);
     if (found != connections_.end())
@@ -266,7 +269,7 @@
     }
 }
 
-void connection_gate::cut(connection_key key)
+void connection_gate::shut_down(connection_key key)
 {
     auto const found = connections_.find(key);
     if (found != connections_.end())
@@ -282,21 +285,22 @@
     return found != connections_.end() && found->second.peer_closed;
 }
 
-void connection_gate::sweep()
+void connection_gate::shut_down_expired()
 {
     auto const now = daemon_loop::clock_now();
-    std::vector<connection_key> late;
+    std::vector<connection_key> expired;
     for (auto const &[key, item] : connections_)
     {
         if (item.deadline <= now)
         {
-            late.push_back(key);
+            expired.push_back(key);
         }
     }
-    std::ranges::for_each(late, [this](connection_key key) { cut(key); });
+    std::ranges::for_each(expired,
+                          [this](connection_key key) { shut_down(key); });
 }
 
-void connection_gate::forget(GObject *stream)
+void connection_gate::remove_connection(GObject *stream)
 {
     auto const found = by_stream_.find(stream);
     if (found != by_stream_.end())
--- a/src/connection_gate.hpp
+++ b/src/connection_gate.hpp
@@ -18,24 +18,24 @@
 namespace agateledge
 {
 
-/// Accepts the connections of one listener and gives them to a `SoupServer`. It
-/// bounds their number, cuts those that miss a deadline, tells when a peer has
-/// closed its side, and adds TLS.
+/// Accepts the connections of one listener, adds TLS and passes them to a
+/// `SoupServer`. Limits their number, shuts down those that miss a deadline,
+/// and reports when a peer has closed its side.
 class connection_gate
 {
 public:
-    /// Names an open connection; it is the remote address object that
+    /// Identifies an open connection; it is the remote address object that
     /// `soup_server_message_get_remote_address` returns.
     using connection_key = GSocketAddress *;
 
-    /// @param server takes the connections; outlives the gate
-    /// @param limits bounds on connections and times
+    /// @param server receives the connections; must outlive this object
+    /// @param limits maximum number of connections and their timeouts
     connection_gate(SoupServer *server, listener_limits limits);
     ~connection_gate();
     connection_gate(connection_gate const &) = delete;
     connection_gate &operator=(connection_gate const &) = delete;
 
-    /// Begins to listen.
+    /// Starts listening.
     ///
     /// @param address IP address and port; port 0 takes a free one
     /// @param tls certificate and key; empty paths for plain HTTP
@@ -43,31 +43,33 @@
     ///         used
     absl::Status start(std::string const &address, tls_settings const &tls);
 
-    /// Reads the certificate again; open connections keep theirs. The old one
-    /// stays on a failure.
+    /// Reloads the certificate. Open connections keep theirs; on failure the
+    /// previous certificate stays in use.
     absl::Status reload_certificate();
 
-    /// Accepts no further connection.
+    /// Stops accepting connections; open ones stay.
     void stop();
 
-    /// Cuts the connection unless a new deadline is set in time.
-    void expect_within(connection_key key, duration time);
+    /// Sets the deadline of a connection. The connection is shut down when it
+    /// passes, unless it is replaced or cleared before.
+    void set_deadline(connection_key key, duration time);
 
-    /// The connection may stay as it is for any time.
-    void expect_nothing(connection_key key);
+    /// Removes the deadline of a connection.
+    void clear_deadline(connection_key key);
 
-    /// Cuts the connection at once.
-    void cut(connection_key key);
+    /// Shuts the connection down at once, in both directions.
+    void shut_down(connection_key key);
 
     /// @return true when the peer has closed its side
     bool peer_closed(connection_key key) const;
 
-    /// @return port that the gate listens on
+    /// @return port of the listening socket
     int port() const { return port_; }
 
     std::size_t open_connections() const { return connections_.size(); }
 
-    /// Connections that were closed at once because too many were open.
+    /// @return number of connections closed on accept because too many were
+    ///         open
     std::int64_t refused_connections() const { return refused_; }
 
     /// Called when the peer has closed its side of an open connection.
@@ -77,7 +79,7 @@
     struct connection
     {
         gobject_ptr<GSocketAddress> remote;
-        /// Owned by the server; removed here when it is destroyed.
+        /// Owned by the server; the entry is removed when it is destroyed.
         GSocketConnection *stream = nullptr;
         instant deadline = instant::max();
         bool peer_closed = false;
@@ -85,11 +87,11 @@
     struct callbacks;
 
     void accept(GSocketConnection *stream);
-    void hand_over(GSocketConnection *stream, GSocketAddress *remote);
+    void pass_to_server(GSocketConnection *stream, GSocketAddress *remote);
     void watch_peer(GSocketConnection *stream, connection_key key) const;
     void read_peer_events();
-    void sweep();
-    void forget(GObject *stream);
+    void shut_down_expired();
+    void remove_connection(GObject *stream);
 
     SoupServer *server_;
     listener_limits limits_;
@@ -102,7 +104,7 @@
     int port_ = 0;
     int epoll_ = -1;
     unsigned epoll_source_ = 0;
-    unsigned sweep_source_ = 0;
+    unsigned deadline_source_ = 0;
 };
 
 } // namespace agateledge
--- a/src/exchange_server.hpp
+++ b/src/exchange_server.hpp
@@ -17,11 +17,12 @@
 namespace agateledge
 {
 
-/// Time in which a caller must have read some of the bytes that wait for it.
+/// Time within which a caller must read some of the bytes buffered for it.
 constexpr duration reader_timeout = seconds(30);
 
-/// HTTP server of one listener. It keeps an `Exchange` for each request, from
-/// its begin to the end of its answer, and tells the listener of its progress.
+/// HTTP server of one listener. Keeps an `Exchange` for each request, from its
+/// start to the end of its answer, and calls the listener's handlers as it
+/// progresses.
 ///
 /// @tparam Exchange made from a `SoupServerMessage *`; has `message()`,
 ///         `answered()` and the counter `body_bytes`
@@ -29,25 +30,25 @@
 class exchange_server
 {
 public:
-    /// What the listener does with an exchange; all must be set before the
-    /// start.
+    /// Handlers of the listener; all must be set before it starts.
     struct hooks
     {
         std::function<void(Exchange &)> on_headers;
-        /// Bytes of the body arrived.
+        /// Bytes of the request body were received.
         std::function<void(Exchange &, std::int64_t)> on_body;
-        /// The whole request arrived; with its path, as sent.
+        /// The request was received completely; called with its path, still
+        /// escaped.
         std::function<void(Exchange &, char const *)> on_request;
-        /// Bytes of the answer were given to the connection.
+        /// Bytes of the answer were written to the connection.
         std::function<void(Exchange &, std::int64_t)> on_written;
-        /// The caller closed its side.
+        /// The caller closed its side of the connection.
         std::function<void(Exchange &)> on_peer_closed;
-        /// The exchange is over; it is gone after this.
+        /// The exchange has ended; it is destroyed after this call.
         std::function<void(Exchange &)> on_end;
     };
 
     /// @param server_header value of the header "Server"; null for none
-    /// @param limits bounds on connections
+    /// @param limits limits on connections
     exchange_server(char const *server_header, listener_limits limits)
         : server_(soup_server_new("server-header", server_header, "raw-paths",
                                   TRUE, nullptr)),
@@ -82,77 +83,78 @@
         return soup_server_message_get_remote_address(exchange.message());
     }
 
-    /// Counts bytes of a request's body and bounds it. A body beyond the bound
-    /// is read and dropped up to a multiple of it, so that the caller reads the
-    /// error; then the connection is cut.
+    /// Counts bytes of a request body and enforces its limit. A body over the
+    /// limit is read and discarded up to a multiple of it, so that the caller
+    /// can read the error; beyond that the connection is shut down.
     ///
-    /// @param most longest body
-    /// @param refuse answers with the error
-    void count_body(Exchange &exchange, std::int64_t bytes, std::int64_t most,
-                    std::function<void()> const &refuse)
+    /// @param bytes bytes received since the last call
+    /// @param max_bytes limit of the body
+    /// @param refuse called once, to answer with the error
+    void count_body(Exchange &exchange, std::int64_t bytes,
+                    std::int64_t max_bytes, std::function<void()> const &refuse)
     {
-        constexpr std::int64_t dropped_body_factor = 4;
+        constexpr std::int64_t discarded_body_factor = 4;
         exchange.body_bytes += bytes;
-        if (exchange.body_bytes > most && !exchange.answered())
+        if (exchange.body_bytes > max_bytes && !exchange.answered())
         {
-            drop_request_body(exchange.message());
+            discard_request_body(exchange.message());
             refuse();
             close_after_answer(exchange.message());
         }
-        if (exchange.body_bytes > most * dropped_body_factor)
+        if (exchange.body_bytes > max_bytes * discarded_body_factor)
         {
-            gate_.cut(connection_of(exchange));
+            gate_.shut_down(connection_of(exchange));
         }
     }
 
 private:
-    static exchange_server &self_of(gpointer self)
+    static exchange_server &server_of(gpointer self)
     {
         return *static_cast<exchange_server *>(self);
     }
 
     static void started(SoupServer *, SoupServerMessage *message, gpointer self)
     {
-        self_of(self).begin(message);
+        server_of(self).begin(message);
     }
 
     static void got_headers(SoupServerMessage *message, gpointer self)
     {
-        if (auto *exchange = self_of(self).find(message))
+        if (auto *exchange = server_of(self).find(message))
         {
-            self_of(self).handlers.on_headers(*exchange);
+            server_of(self).handlers.on_headers(*exchange);
         }
     }
 
     static void got_chunk(SoupServerMessage *message, GBytes *chunk,
                           gpointer self)
     {
-        if (auto *exchange = self_of(self).find(message))
+        if (auto *exchange = server_of(self).find(message))
         {
-            self_of(self).handlers.on_body(
+            server_of(self).handlers.on_body(
                 *exchange, static_cast<std::int64_t>(g_bytes_get_size(chunk)));
         }
     }
 
     static void wrote(SoupServerMessage *message, guint bytes, gpointer self)
     {
-        if (auto *exchange = self_of(self).find(message))
+        if (auto *exchange = server_of(self).find(message))
         {
-            self_of(self).handlers.on_written(*exchange, bytes);
+            server_of(self).handlers.on_written(*exchange, bytes);
         }
     }
 
     static void finished(SoupServerMessage *message, gpointer self)
     {
-        self_of(self).end(message);
+        server_of(self).end(message);
     }
 
     static void handle(SoupServer *, SoupServerMessage *message,
                        char const *path, GHashTable *, gpointer self)
     {
-        if (auto *exchange = self_of(self).find(message))
+        if (auto *exchange = server_of(self).find(message))
         {
-            self_of(self).handlers.on_request(*exchange, path);
+            server_of(self).handlers.on_request(*exchange, path);
         }
     }
 
@@ -171,8 +173,8 @@
         g_signal_connect(message, "got-chunk", G_CALLBACK(got_chunk), this);
         g_signal_connect(message, "wrote-body-data", G_CALLBACK(wrote), this);
         g_signal_connect(message, "finished", G_CALLBACK(finished), this);
-        // A message whose connection closes before its request has begun does
-        // not finish.
+        // libsoup does not emit "finished" for a message whose connection
+        // closes before its request has begun.
         g_signal_connect(message, "disconnected", G_CALLBACK(finished), this);
     }
 
--- a/src/relay_listener.cpp
+++ b/src/relay_listener.cpp
@@ -20,7 +20,8 @@
 
 } // namespace
 
-/// One exchange with a caller.
+/// One HTTP exchange with a caller, from the headers of the request to the end
+/// of the answer.
 class relay_listener::exchange
 {
 public:
@@ -31,18 +32,18 @@
 
     SoupServerMessage *message() const { return message_.get(); }
 
-    /// @return true once the whole answer was given to the connection
-    bool answered() const { return done; }
+    /// @return true once the complete answer was given to the connection
+    bool answered() const { return answer_complete; }
 
-    /// 0 before the request is given to the systems.
+    /// 0 until the request is submitted to the daemon.
     request_number request;
     std::int64_t body_bytes = 0;
     std::int64_t buffered_bytes = 0;
-    instant headers_at{};
-    bool done = false;
+    instant headers_received_at{};
+    bool answer_complete = false;
     bool paused = false;
     bool streaming = false;
-    bool held = false;
+    bool stalled = false;
 
     void unpause()
     {
@@ -66,11 +67,12 @@
     handlers.on_body = [this](exchange &item, std::int64_t bytes)
     { count_body(item, bytes); };
     handlers.on_request = [this](exchange &item, char const *path)
-    { take(item, path); };
+    { accept_request(item, path); };
     handlers.on_written = [this](exchange &item, std::int64_t bytes)
-    { wrote(item, bytes); };
-    handlers.on_peer_closed = [this](exchange &item) { peer_closed(item); };
-    handlers.on_end = [this](exchange &item) { end(item); };
+    { record_written(item, bytes); };
+    handlers.on_peer_closed = [this](exchange &item)
+    { handle_peer_closed(item); };
+    handlers.on_end = [this](exchange &item) { handle_end(item); };
 }
 
 relay_listener::~relay_listener() = default;
@@ -89,8 +91,8 @@
 {
     auto *message = item.message();
     auto const &bounds = state_.relay.routing->bounds;
-    gate().expect_within(server_->connection_of(item), limits_.request_timeout);
-    item.headers_at = daemon_loop::clock_now();
+    gate().set_deadline(server_->connection_of(item), limits_.request_timeout);
+    item.headers_received_at = daemon_loop::clock_now();
     auto *headers = soup_server_message_get_request_headers(message);
     if (request_header_bytes(message) > bounds.max_header_bytes)
     {
@@ -104,7 +106,7 @@
     }
     if (item.answered())
     {
-        drop_request_body(message);
+        discard_request_body(message);
         close_after_answer(message);
     }
 }
@@ -118,18 +120,19 @@
         });
 }
 
-void relay_listener::take(exchange &item, std::string const &path)
+void relay_listener::accept_request(exchange &item, std::string const &path)
 {
     if (item.answered())
     {
         return;
     }
     auto *message = item.message();
-    gate().expect_nothing(server_->connection_of(item));
+    gate().clear_deadline(server_->connection_of(item));
     if (gate().peer_closed(server_->connection_of(item)))
     {
         refuse(item, result_code::invalid_request,
-               "the caller has closed its side");
+               "the client closed its side of the connection before "
+               "the answer");
         close_after_answer(message);
         return;
     }
@@ -154,7 +157,7 @@
     arrival.request = item.request;
     arrival.content =
         std::make_shared<relay_request const>(*std::move(request));
-    arrival.arrived_at = item.headers_at;
+    arrival.arrived_at = item.headers_received_at;
     loop_.input().relay_arrivals.push_back(std::move(arrival));
 }
 
@@ -173,19 +176,19 @@
 {
     auto headers = codec_.own_answer_headers(answer);
     headers.emplace_back("Content-Type", json_type);
-    send_whole(item, answer, headers,
-               error_document(answer.code, answer.message));
+    send_complete(item, answer, headers,
+                  error_document(answer.code, answer.message));
 }
 
-void relay_listener::send_whole(exchange &item, relay_answer const &answer,
-                                header_list const &headers,
-                                std::string const &body)
+void relay_listener::send_complete(exchange &item, relay_answer const &answer,
+                                   header_list const &headers,
+                                   std::string const &body)
 {
     if (item.answered())
     {
         return;
     }
-    item.done = true;
+    item.answer_complete = true;
     auto *message = item.message();
     soup_server_message_set_status(message, static_cast<guint>(answer.status),
                                    nullptr);
@@ -199,7 +202,7 @@
     {
         close_after_answer(message);
     }
-    gate().expect_within(server_->connection_of(item), reader_timeout);
+    gate().set_deadline(server_->connection_of(item), reader_timeout);
     item.unpause();
 }
 
@@ -220,7 +223,7 @@
     }
 }
 
-void relay_listener::write_part(exchange &item, std::string const &bytes)
+void relay_listener::write_chunk(exchange &item, std::string const &bytes)
 {
     item.buffered_bytes += static_cast<std::int64_t>(bytes.size());
     soup_message_body_append(
@@ -228,7 +231,7 @@
         bytes.data(), bytes.size());
     soup_server_message_unpause(item.message());
     item.paused = false;
-    update_hold(item);
+    update_backpressure(item);
 }
 
 void relay_listener::answer(relay_answer const &answer)
@@ -245,22 +248,22 @@
         begin_stream(item, answer);
         return;
     case relay_answer_kind::part:
-        write_part(item, answer.bytes);
+        write_chunk(item, answer.bytes);
         return;
     case relay_answer_kind::whole:
         by_request_.erase(found);
-        send_whole(item, answer, answer.headers, answer.bytes);
+        send_complete(item, answer, answer.headers, answer.bytes);
         return;
     case relay_answer_kind::end:
         by_request_.erase(found);
-        item.done = true;
+        item.answer_complete = true;
         soup_message_body_complete(
             soup_server_message_get_response_body(item.message()));
         soup_server_message_unpause(item.message());
         return;
     case relay_answer_kind::cut:
         by_request_.erase(found);
-        cut(item);
+        abort_exchange(item);
         return;
     case relay_answer_kind::refused:
         by_request_.erase(found);
@@ -269,13 +272,13 @@
     }
 }
 
-void relay_listener::wrote(exchange &item, std::int64_t bytes)
+void relay_listener::record_written(exchange &item, std::int64_t bytes)
 {
     item.buffered_bytes -= bytes;
-    update_hold(item);
+    update_backpressure(item);
 }
 
-void relay_listener::update_hold(exchange &item)
+void relay_listener::update_backpressure(exchange &item)
 {
     if (!item.streaming)
     {
@@ -283,38 +286,38 @@
     }
     if (item.buffered_bytes <= 0)
     {
-        gate().expect_nothing(server_->connection_of(item));
+        gate().clear_deadline(server_->connection_of(item));
     }
     else
     {
-        gate().expect_within(server_->connection_of(item), reader_timeout);
+        gate().set_deadline(server_->connection_of(item), reader_timeout);
     }
-    bool const hold = item.buffered_bytes > limits_.max_buffered_bytes ||
-                      (item.held && item.buffered_bytes > 0);
-    if (std::exchange(item.held, hold) != hold && on_hold)
+    bool const stalled = item.buffered_bytes > limits_.max_buffered_bytes ||
+                         (item.stalled && item.buffered_bytes > 0);
+    if (std::exchange(item.stalled, stalled) != stalled && on_hold)
     {
-        on_hold(item.request, hold);
+        on_hold(item.request, stalled);
     }
 }
 
-void relay_listener::cut(exchange &item)
+void relay_listener::abort_exchange(exchange &item)
 {
-    item.done = true;
-    gate().cut(server_->connection_of(item));
+    item.answer_complete = true;
+    gate().shut_down(server_->connection_of(item));
     soup_server_message_unpause(item.message());
 }
 
-void relay_listener::peer_closed(exchange &item)
+void relay_listener::handle_peer_closed(exchange &item)
 {
     if (item.answered() || item.request.value() == 0)
     {
         return;
     }
-    depart(item);
-    cut(item);
+    report_departure(item);
+    abort_exchange(item);
 }
 
-void relay_listener::depart(exchange &item)
+void relay_listener::report_departure(exchange &item)
 {
     if (by_request_.erase(item.request) != 0)
     {
@@ -322,11 +325,11 @@
     }
 }
 
-void relay_listener::end(exchange &item)
+void relay_listener::handle_end(exchange &item)
 {
-    depart(item);
-    gate().expect_within(server_->connection_of(item),
-                         state_.relay.routing->bounds.idle_timeout);
+    report_departure(item);
+    gate().set_deadline(server_->connection_of(item),
+                        state_.relay.routing->bounds.idle_timeout);
 }
 
 } // namespace agateledge
--- a/src/relay_listener.hpp
+++ b/src/relay_listener.hpp
@@ -23,28 +23,30 @@
 struct relay_codec;
 struct world;
 
-/// HTTP listener of the callers whose requests are passed on unchanged. It
-/// bounds what callers send and how fast, and writes the answers.
+/// HTTP listener for proxied requests, which are forwarded unchanged. Enforces
+/// the limits on size and time of requests, and writes the answers.
 class relay_listener
 {
 public:
-    /// @param state the daemon, read for the bounds in force; outlives this
-    /// @param loop takes arrivals and departures; outlives this
-    /// @param codec decodes requests; outlives this
-    /// @param limits bounds on connections
+    /// @param state daemon state, read for the current limits; must outlive
+    ///        this object
+    /// @param loop receives arrivals and departures; must outlive this object
+    /// @param codec decodes requests; must outlive this object
+    /// @param limits limits on connections
     relay_listener(world const &state, daemon_loop &loop,
                    relay_codec const &codec, listener_limits limits);
     ~relay_listener();
     relay_listener(relay_listener const &) = delete;
     relay_listener &operator=(relay_listener const &) = delete;
 
-    /// Begins to listen; see `connection_gate::start`.
+    /// Starts listening; see `connection_gate::start`.
     absl::Status start(std::string const &address);
 
     /// Writes an answer, or the next part of one.
     void answer(relay_answer const &answer);
 
-    /// Called when the reader of a stream stalls (true) or has drained (false).
+    /// Called when the reader of a stream stalls (true) or has read all
+    /// buffered bytes (false).
     std::function<void(request_number, bool hold)> on_hold;
 
 private:
@@ -53,19 +55,19 @@
     connection_gate &gate();
     void check_headers(exchange &item);
     void count_body(exchange &item, std::int64_t bytes);
-    void take(exchange &item, std::string const &path);
+    void accept_request(exchange &item, std::string const &path);
     void refuse(exchange &item, relay_answer const &answer);
     void refuse(exchange &item, result_code code, std::string const &message);
-    void send_whole(exchange &item, relay_answer const &answer,
-                    header_list const &headers, std::string const &body);
+    void send_complete(exchange &item, relay_answer const &answer,
+                       header_list const &headers, std::string const &body);
     void begin_stream(exchange &item, relay_answer const &answer);
-    void write_part(exchange &item, std::string const &bytes);
-    void wrote(exchange &item, std::int64_t bytes);
-    void update_hold(exchange &item);
-    void cut(exchange &item);
-    void depart(exchange &item);
-    void end(exchange &item);
-    void peer_closed(exchange &item);
+    void write_chunk(exchange &item, std::string const &bytes);
+    void record_written(exchange &item, std::int64_t bytes);
+    void update_backpressure(exchange &item);
+    void abort_exchange(exchange &item);
+    void report_departure(exchange &item);
+    void handle_end(exchange &item);
+    void handle_peer_closed(exchange &item);
 
     world const &state_;
     daemon_loop &loop_;
--- a/src/server_message.cpp
+++ b/src/server_message.cpp
@@ -36,7 +36,7 @@
     return text;
 }
 
-void drop_request_body(SoupServerMessage *message)
+void discard_request_body(SoupServerMessage *message)
 {
     soup_message_body_set_accumulate(
         soup_server_message_get_request_body(message), FALSE);
--- a/src/server_message.hpp
+++ b/src/server_message.hpp
@@ -9,20 +9,20 @@
 namespace agateledge
 {
 
-/// @return bytes of the names and values of the request's headers
+/// @return total bytes of the names and values of the request headers
 std::int64_t request_header_bytes(SoupServerMessage *message);
 
-/// @return the query of the request with its question mark, as sent; empty for
-///         none
+/// @return query of the request with its question mark, still escaped; empty
+///         for none
 std::string request_query(SoupServerMessage *message);
 
-/// @return the body of the request, which has arrived whole
+/// @return body of a request that was received completely
 std::string request_body(SoupServerMessage *message);
 
-/// Drops what arrives of the request's body from now on.
-void drop_request_body(SoupServerMessage *message);
+/// Discards the part of the request body that has not been received yet.
+void discard_request_body(SoupServerMessage *message);
 
-/// Closes the connection after the answer, and tells the caller so.
+/// Closes the connection after the answer, announced by "Connection: close".
 void close_after_answer(SoupServerMessage *message);
 
 } // namespace agateledge
