--- a/src/caller_directory.cpp
+++ b/src/caller_directory.cpp
@@ -12,15 +12,15 @@
 namespace
 {
 
-constexpr std::string_view bearer = "Bearer ";
-constexpr std::size_t hash_characters = 64;
+constexpr std::string_view bearer_prefix = "Bearer ";
+constexpr std::size_t sha256_hex_digits = 64;
 
 std::uint64_t key_of(std::string_view hash)
 {
-    constexpr std::size_t characters = 16;
+    constexpr std::size_t key_hex_digits = 16;
     constexpr int base = 16;
     std::uint64_t key = 0;
-    auto const part = hash.substr(0, characters);
+    auto const part = hash.substr(0, key_hex_digits);
     std::from_chars(part.data(), part.data() + part.size(), key, base);
     return key;
 }
@@ -39,7 +39,7 @@
     callers_.reserve(config.callers.size());
     for (auto const &caller : config.callers)
     {
-        if (caller.token_sha256.size() == hash_characters)
+        if (caller.token_sha256.size() == sha256_hex_digits)
         {
             callers_.emplace(key_of(caller.token_sha256),
                              entry{caller.token_sha256, caller.name});
@@ -49,11 +49,11 @@
 
 std::string caller_directory::authenticate(std::string_view authorization) const
 {
-    if (!authorization.starts_with(bearer))
+    if (!authorization.starts_with(bearer_prefix))
     {
         return {};
     }
-    auto const hash = sha256_of(authorization.substr(bearer.size()));
+    auto const hash = sha256_of(authorization.substr(bearer_prefix.size()));
     auto const [first, last] = callers_.equal_range(key_of(hash));
     auto const found = std::find_if(
         first, last,
--- a/src/caller_directory.hpp
+++ b/src/caller_directory.hpp
@@ -11,11 +11,11 @@
 namespace agateledge
 {
 
-/// Callers by the hash of their bearer token.
+/// Authenticates callers by the hash of their bearer token.
 class caller_directory
 {
 public:
-    /// Takes over the callers of a configuration when its revision is new.
+    /// Replaces the callers by those of a configuration with a new revision.
     void update(configuration const &config);
 
     /// @param authorization value of the Authorization header
@@ -31,8 +31,8 @@
 
     bool loaded_ = false;
     revision_number revision_;
-    /// Keyed by the first 64 bits of the hash; the rest is compared in constant
-    /// time.
+    /// Keyed by the first 64 bits of the hash; the complete hash is compared in
+    /// constant time.
     std::unordered_multimap<std::uint64_t, entry> callers_;
 };
 
--- a/src/completion_writer.hpp
+++ b/src/completion_writer.hpp
@@ -13,12 +13,12 @@
 namespace agateledge
 {
 
-/// Writes the answer to one model request in the shape that the OpenAI clients
-/// read, as server-sent events or as one document.
+/// Writes the answer to one model request in the format of the OpenAI API, as
+/// server-sent events or as one JSON document.
 class completion_writer
 {
 public:
-    /// @param kind shape of the answer
+    /// @param kind endpoint whose format is written
     /// @param model model that the caller named
     /// @param created seconds since the Unix epoch
     completion_writer(completion_kind kind, std::string model,
@@ -28,8 +28,8 @@
     void set_id(std::string id) { id_ = std::move(id); }
     std::string const &id() const { return id_; }
 
-    /// @param offset tokens that the caller has before the stream
-    /// @return the event that tells the request's id
+    /// @param offset tokens of the answer that the caller already has
+    /// @return first event of the stream, which carries the request id
     std::string first_event(int offset) const;
 
     /// @param text text of the chunk
@@ -38,14 +38,14 @@
     std::string chunk_event(std::string const &text, int end_offset) const;
 
     /// @param reason "stop" or "length"
-    /// @param end_offset tokens of the whole answer
+    /// @param end_offset tokens of the complete answer
     /// @return the event that ends the answer
     std::string end_event(char const *reason, int end_offset) const;
 
-    /// @return event with the use of tokens and no choice
+    /// @return event with the token usage and without choices
     std::string usage_event(int prompt_tokens, int output_tokens) const;
 
-    /// @return the whole answer as one document
+    /// @return the complete answer as one JSON document
     std::string document(std::string const &text, char const *reason,
                          int prompt_tokens, int output_tokens) const;
 
@@ -60,14 +60,14 @@
     std::string id_;
 };
 
-/// Last event of every whole stream.
+/// Last event of every complete stream.
 inline constexpr std::string_view done_event = "data: [DONE]\n\n";
 
-/// @return JSON document that tells `code`, its number and whether the request
-///         was certainly not run
+/// @return JSON document with `code`, its number and whether it is certain that
+///         the request was not executed
 std::string error_document(result_code code, std::string_view message);
 
-/// @return event that ends a stream without a whole answer
+/// @return event that ends a stream whose answer is incomplete
 std::string error_event(result_code code, std::string_view message);
 
 } // namespace agateledge
--- a/src/datagram_socket.cpp
+++ b/src/datagram_socket.cpp
@@ -9,10 +9,11 @@
 namespace
 {
 
-/// Datagrams that are read at once before other input has its turn.
-constexpr int most_at_once = 64;
+/// Maximum number of datagrams read per callback, so that other event sources
+/// are not starved.
+constexpr int max_datagrams_per_callback = 64;
 
-absl::Status fault(std::string const &address, std::string const &text)
+absl::Status open_error(std::string const &address, std::string const &text)
 {
     return make_status(result_code::settings_invalid,
                        "cannot receive datagrams on " + address + ": " + text);
@@ -34,7 +35,7 @@
     auto const local = parse_socket_address(address);
     if (!local)
     {
-        return fault(address, "not an IP address and port");
+        return open_error(address, "not an IP address and port");
     }
     GError *error = nullptr;
     socket_.reset(g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_DATAGRAM,
@@ -48,7 +49,7 @@
     if (failure)
     {
         socket_.reset();
-        return fault(address, failure->message);
+        return open_error(address, failure->message);
     }
     source_ = g_socket_create_source(socket_.get(), G_IO_IN, nullptr);
     GSocketSourceFunc const ready = [](GSocket *, GIOCondition,
@@ -61,7 +62,7 @@
 
 gboolean datagram_socket::receive()
 {
-    for (int i = 0; i < most_at_once; ++i)
+    for (int i = 0; i < max_datagrams_per_callback; ++i)
     {
         auto const count = g_socket_receive(socket_.get(), buffer_.data(),
                                             buffer_.size(), nullptr, nullptr);
--- a/src/datagram_socket.hpp
+++ b/src/datagram_socket.hpp
@@ -15,7 +15,7 @@
 namespace agateledge
 {
 
-/// UDP socket on the default GLib main context. Datagrams may be lost.
+/// UDP socket on the default GLib main context. Delivery is not guaranteed.
 class datagram_socket
 {
 public:
@@ -24,9 +24,9 @@
     datagram_socket(datagram_socket const &) = delete;
     datagram_socket &operator=(datagram_socket const &) = delete;
 
-    /// Begins to receive.
+    /// Binds the socket and starts receiving.
     ///
-    /// @param address own IP address and port
+    /// @param address local IP address and port
     /// @return `settings_invalid` when the address cannot be bound
     absl::Status open(std::string const &address);
 
@@ -36,18 +36,18 @@
     /// @return false when the datagram was not sent
     bool send(std::string const &address, std::string_view bytes);
 
-    /// Runs for each datagram that arrives.
+    /// Called for each received datagram.
     std::function<void(std::string_view bytes)> on_datagram;
 
 private:
-    /// Largest UDP datagram.
-    static constexpr std::size_t most_bytes = 65536;
+    /// Upper bound of the size of a UDP datagram.
+    static constexpr std::size_t max_datagram_bytes = 65536;
 
     gboolean receive();
 
     gobject_ptr<GSocket> socket_;
     GSource *source_ = nullptr;
-    std::array<char, most_bytes> buffer_{};
+    std::array<char, max_datagram_bytes> buffer_{};
 };
 
 } // namespace agateledge
--- a/src/gobject_ptr.hpp
+++ b/src/gobject_ptr.hpp
@@ -8,13 +8,13 @@
 namespace agateledge
 {
 
-/// Drops one reference of a GObject.
+/// Releases one reference of a GObject.
 struct gobject_unref
 {
     void operator()(gpointer object) const { g_object_unref(object); }
 };
 
-/// Owns one reference of a GObject.
+/// Owns one reference to a GObject.
 template <class Object>
 using gobject_ptr = std::unique_ptr<Object, gobject_unref>;
 
--- a/src/http_call.cpp
+++ b/src/http_call.cpp
@@ -12,7 +12,7 @@
 
 using call_ref = std::shared_ptr<http_call>;
 
-call_ref take_ref(gpointer data)
+call_ref adopt_ref(gpointer data)
 {
     std::unique_ptr<call_ref> const holder(static_cast<call_ref *>(data));
     return *holder;
@@ -50,9 +50,9 @@
     }
     else
     {
-        // Without this flag libsoup opens a connection for each POST and keeps
-        // it unused. `callbacks::connected` prevents the resend that the flag
-        // permits.
+        // Without this flag libsoup opens a new connection for each POST and
+        // does not reuse it. The flag also permits resending, which
+        // `callbacks::connected` prevents.
         soup_message_add_flags(message, SOUP_MESSAGE_IDEMPOTENT);
     }
     for (auto const &[name, value] : request.headers)
@@ -82,12 +82,12 @@
         auto *call = static_cast<http_call *>(data);
         if (std::exchange(call->connected_, true))
         {
-            // libsoup is about to send the request again after the connection
-            // broke; whether the first one ran is unknown.
+            // libsoup is about to resend the request after the connection
+            // broke; the first one may have been executed.
             call->fail();
             return;
         }
-        if (!call->total_bound_)
+        if (!call->has_total_timeout_)
         {
             call->stop_timer();
         }
@@ -107,14 +107,14 @@
 
     static void sent(GObject *session, GAsyncResult *result, gpointer data)
     {
-        auto const call = take_ref(data);
+        auto const call = adopt_ref(data);
         GError *error = nullptr;
         auto *stream =
             soup_session_send_finish(SOUP_SESSION(session), result, &error);
         gerror_ptr const failure(error);
         if (stream != nullptr)
         {
-            call->opened(stream);
+            call->handle_headers(stream);
             return;
         }
         call->fail();
@@ -122,13 +122,13 @@
 
     static void read(GObject *stream, GAsyncResult *result, gpointer data)
     {
-        auto const call = take_ref(data);
+        auto const call = adopt_ref(data);
         GError *error = nullptr;
         auto const count =
             g_input_stream_read_finish(G_INPUT_STREAM(stream), result, &error);
         gerror_ptr const failure(error);
         call->reading_ = false;
-        call->received(count);
+        call->handle_read(count);
     }
 
     static gboolean timed_out(gpointer data)
@@ -171,8 +171,9 @@
         g_signal_connect(message_.get(), "network-event",
                          G_CALLBACK(callbacks::network_event), this);
     }
-    total_bound_ = request.total_timeout.count() > 0;
-    start_timer(total_bound_ ? request.total_timeout : request.connect_timeout);
+    has_total_timeout_ = request.total_timeout.count() > 0;
+    start_timer(has_total_timeout_ ? request.total_timeout
+                                   : request.connect_timeout);
     soup_session_send_async(session, message_.get(), G_PRIORITY_DEFAULT,
                             cancellable_.get(), callbacks::sent,
                             new call_ref(shared_from_this()));
@@ -212,7 +213,7 @@
     read_next();
 }
 
-void http_call::opened(GInputStream *stream)
+void http_call::handle_headers(GInputStream *stream)
 {
     stream_.reset(stream);
     if (ended_)
@@ -241,7 +242,7 @@
         cancellable_.get(), callbacks::read, new call_ref(shared_from_this()));
 }
 
-void http_call::received(gssize count)
+void http_call::handle_read(gssize count)
 {
     if (ended_)
     {
@@ -255,8 +256,8 @@
     }
     if (count == 0)
     {
-        finish(is_whole() ? http_outcome::answered
-                          : http_outcome::failed_after_send);
+        finish(is_complete() ? http_outcome::answered
+                             : http_outcome::failed_after_send);
         return;
     }
     body_bytes_ += count;
@@ -270,7 +271,7 @@
     {
         return;
     }
-    // The handler may cancel the call, which drops the handlers.
+    // The handler may cancel the call, which clears `handlers_`.
     auto on_bytes = std::move(handlers_.on_bytes);
     on_bytes(bytes);
     if (!ended_)
@@ -279,17 +280,18 @@
     }
 }
 
-bool http_call::is_whole() const
+bool http_call::is_complete() const
 {
-    // libsoup reports the end of a body when the connection ends within a body
-    // of known length, or between two chunks.
+    // libsoup also reports a normal end of the body when the connection closes
+    // within a body of known length or between two chunks.
     auto *headers = soup_message_get_response_headers(message_.get());
     switch (soup_message_headers_get_encoding(headers))
     {
     case SOUP_ENCODING_CONTENT_LENGTH:
         return body_bytes_ == soup_message_headers_get_content_length(headers);
     case SOUP_ENCODING_CHUNKED:
-        // An engine that leaves announces the close after its whole reply.
+        // An engine that shuts down sends "Connection: close" and closes the
+        // connection after its complete reply.
         return closes_after_reply(headers) || !peer_closed();
     default:
         return true;
@@ -329,12 +331,12 @@
         return;
     }
     auto const on_end = std::move(handlers_.on_end);
-    // The handlers may own what owns this call.
+    // The handlers may hold references that keep this call alive.
     handlers_ = {};
-    bool const whole = outcome == http_outcome::answered;
+    bool const complete = outcome == http_outcome::answered;
     ended_ = true;
     stop_timer();
-    if (whole)
+    if (complete)
     {
         stream_.reset();
         close_connection();
--- a/src/http_call.hpp
+++ b/src/http_call.hpp
@@ -27,27 +27,28 @@
     std::string address;
     /// Path with the query.
     std::string path;
-    /// Replace the headers that are sent by default; names may repeat.
+    /// Added to the request, in place of default headers of the same names;
+    /// names may repeat.
     std::vector<std::pair<std::string, std::string>> headers;
-    /// Null for none.
+    /// Request body; null for none.
     shared_text body;
-    /// Empty sends none.
+    /// Value of "Content-Type"; empty for none.
     std::string content_type = "application/json";
-    /// Bound on the connect when `total_timeout` is 0.
+    /// Timeout of the connect; used when `total_timeout` is 0.
     duration connect_timeout = seconds(2);
-    /// Bound on the whole call; 0 for none.
+    /// Timeout of the complete call; 0 for none.
     duration total_timeout{};
-    /// Uses a connection for this call alone, so that a failure before the
-    /// connect is certainly a failure before a byte was sent, and so that a
-    /// reply that breaks off can be told from a whole one.
+    /// Uses a separate connection for this call. A failure before the connect
+    /// then implies that no byte was sent, and a truncated reply can be told
+    /// from a complete one.
     bool new_connection = false;
 };
 
 /// How an outgoing HTTP call ended.
 enum class http_outcome
 {
-    /// The whole reply was read. A chunked reply on a kept connection may have
-    /// lost its end.
+    /// The reply was read to its end. Truncation of a chunked reply on a
+    /// reused connection is not detected.
     answered,
     /// No connection was made, so that no byte was sent.
     failed_before_send,
@@ -66,8 +67,8 @@
     std::function<void(http_outcome)> on_end;
 };
 
-/// One outgoing HTTP call whose reply is read in parts. Reading can be paused,
-/// so that the sender is held back by TCP flow control.
+/// One outgoing HTTP call whose reply is streamed to handlers. Reading can be
+/// paused, so that TCP flow control slows the sender down.
 class http_call : public std::enable_shared_from_this<http_call>
 {
 public:
@@ -79,10 +80,10 @@
     /// Sends the request.
     void start(SoupSession *session, http_request const &request);
 
-    /// Ends the call; no handler runs after this.
+    /// Cancels the call; no handler runs after this.
     void cancel();
 
-    /// Reads no further until `resume`; bytes already read are still delivered.
+    /// Stops reading until `resume`; bytes already read are still delivered.
     void pause() { paused_ = true; }
 
     void resume();
@@ -90,15 +91,15 @@
 private:
     struct callbacks;
 
-    static constexpr std::size_t read_size = std::size_t{8} * 1024;
+    static constexpr std::size_t read_buffer_bytes = std::size_t{8} * 1024;
 
     void start_timer(duration timeout);
     void stop_timer();
-    void opened(GInputStream *stream);
+    void handle_headers(GInputStream *stream);
     void read_next();
-    void received(gssize count);
+    void handle_read(gssize count);
     void deliver(std::string_view bytes);
-    bool is_whole() const;
+    bool is_complete() const;
     bool peer_closed() const;
     void close_connection();
     void finish(http_outcome outcome);
@@ -108,14 +109,14 @@
     gobject_ptr<GCancellable> cancellable_;
     gobject_ptr<SoupMessage> message_;
     gobject_ptr<GInputStream> stream_;
-    /// Connection that was made for this call alone.
+    /// Socket of the call's own connection; null when connections are reused.
     gobject_ptr<GSocket> socket_;
-    /// Bytes of the reply's body that were read.
+    /// Bytes of the reply body read so far.
     goffset body_bytes_ = 0;
-    std::array<char, read_size> buffer_{};
+    std::array<char, read_buffer_bytes> buffer_{};
     unsigned timer_ = 0;
     bool connected_ = false;
-    bool total_bound_ = false;
+    bool has_total_timeout_ = false;
     bool paused_ = false;
     bool reading_ = false;
     bool ended_ = false;
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -9,19 +9,20 @@
 namespace
 {
 
-/// Calls that are open on one session at the same time; see `pooled_session`.
+/// Maximum number of concurrent calls per session; see `pooled_session`.
 constexpr std::size_t max_calls_per_session = 32;
-/// Time for which an unused connection is kept; the shortest one that libsoup
-/// knows where it is not used again.
-constexpr guint kept_idle_seconds = 30;
-constexpr guint single_idle_seconds = 1;
-/// Time after which a silent connection counts as broken.
+/// Time for which an idle connection is kept open. Connections that are not
+/// reused get the shortest time that libsoup supports.
+constexpr guint keep_alive_seconds = 30;
+constexpr guint single_call_idle_seconds = 1;
+/// Time without data after which a connection counts as broken.
 constexpr guint io_timeout_seconds = 120;
 
-SoupSession *make_session(connection_use use)
+SoupSession *make_session(connection_reuse reuse)
 {
-    auto const idle_seconds =
-        use == connection_use::kept ? kept_idle_seconds : single_idle_seconds;
+    auto const idle_seconds = reuse == connection_reuse::keep_alive
+                                  ? keep_alive_seconds
+                                  : single_call_idle_seconds;
     auto *session = soup_session_new_with_options(
         "max-conns", static_cast<int>(max_calls_per_session),
         "max-conns-per-host", static_cast<int>(max_calls_per_session),
@@ -32,14 +33,14 @@
     return session;
 }
 
-/// Collects the parts of one reply.
+/// Collects the body of one reply.
 struct collector
 {
     http_reply reply;
     std::function<void(http_reply const &)> on_reply;
     std::weak_ptr<http_call> call;
 
-    /// @return false when the reply is too long
+    /// @return false when the reply exceeds `http_client::max_reply_bytes`
     bool add(std::string_view bytes)
     {
         if (reply.body.size() + bytes.size() > http_client::max_reply_bytes)
@@ -59,11 +60,11 @@
 
 } // namespace
 
-http_client::http_client(connection_use use) : use_(use) {}
+http_client::http_client(connection_reuse reuse) : reuse_(reuse) {}
 
 http_client::~http_client()
 {
-    for (auto const &[call, session] : open_)
+    for (auto const &[call, session] : open_calls_)
     {
         call->cancel();
     }
@@ -79,26 +80,27 @@
 http_client::session_for(std::string const &address)
 {
     auto &sessions =
-        sessions_[use_ == connection_use::kept ? address : std::string()];
-    auto const free = std::ranges::find_if(
+        sessions_[reuse_ == connection_reuse::keep_alive ? address
+                                                         : std::string()];
+    auto const available = std::ranges::find_if(
         sessions, [](std::shared_ptr<pooled_session> const &item)
         { return item->open < max_calls_per_session; });
-    if (free != sessions.end())
+    if (available != sessions.end())
     {
-        return *free;
+        return *available;
     }
-    auto made = std::make_shared<pooled_session>();
-    made->session.reset(make_session(use_));
-    return sessions.emplace_back(std::move(made));
+    auto created = std::make_shared<pooled_session>();
+    created->session.reset(make_session(reuse_));
+    return sessions.emplace_back(std::move(created));
 }
 
 void http_client::release(std::shared_ptr<http_call> const &call)
 {
-    auto const found = open_.find(call);
-    if (found != open_.end())
+    auto const found = open_calls_.find(call);
+    if (found != open_calls_.end())
     {
         --found->second->open;
-        open_.erase(found);
+        open_calls_.erase(found);
     }
 }
 
@@ -119,7 +121,7 @@
     *self = call;
     auto const &session = session_for(request.address);
     ++session->open;
-    open_.emplace(call, session);
+    open_calls_.emplace(call, session);
     call->start(session->session.get(), request);
     return call;
 }
@@ -140,7 +142,7 @@
     { parts->reply.status = status; };
     handlers.on_bytes = [this, parts](std::string_view bytes)
     {
-        // The connection is closed at once: the reply may have no end.
+        // Closes the connection at once, because the reply may be endless.
         if (!parts->add(bytes))
         {
             cancel(parts->call.lock());
--- a/src/http_exchange.cpp
+++ b/src/http_exchange.cpp
@@ -27,9 +27,9 @@
 {
     auto *exchange = static_cast<http_exchange *>(self);
     exchange->closed_ = true;
-    if (auto const hook = std::exchange(exchange->hook_, nullptr))
+    if (auto const handler = std::exchange(exchange->closed_handler_, nullptr))
     {
-        hook();
+        handler();
     }
 }
 
--- a/src/http_exchange.hpp
+++ b/src/http_exchange.hpp
@@ -11,12 +11,12 @@
 namespace agateledge
 {
 
-/// One request to an `http_server` and its reply. Kept in a shared pointer
-/// until the reply has been written or the client has gone.
+/// One request to an `http_server` and its reply. Shared by its
+/// handlers until the reply has been written or the client has disconnected.
 class http_exchange
 {
 public:
-    /// @param message request; a reference is held
+    /// @param message request; the exchange keeps a reference
     /// @param query parsed query string, or null
     http_exchange(SoupServerMessage *message, GHashTable *query);
     ~http_exchange();
@@ -33,11 +33,11 @@
     /// @return value of a query parameter, or an empty string
     std::string query(char const *name) const;
 
-    /// Sends the whole reply.
+    /// Sends a complete reply.
     void reply(int status, std::string_view body,
                char const *content_type = "application/json");
 
-    /// Begins a reply of server-sent events.
+    /// Starts a reply of server-sent events.
     void begin_events();
 
     /// Appends one event to the reply.
@@ -48,15 +48,18 @@
     /// Ends a reply that `begin_events` began.
     void end_events();
 
-    /// @return true once the client has closed the connection
+    /// @return true once the client has disconnected or the reply was written
     bool closed() const { return closed_; }
 
-    /// Installs a hook that runs once when the client closes the connection or
-    /// the reply has been written.
-    void on_closed(std::function<void()> hook) { hook_ = std::move(hook); }
+    /// Installs a handler that runs once, when the client closes the connection
+    /// or the reply has been written.
+    void on_closed(std::function<void()> handler)
+    {
+        closed_handler_ = std::move(handler);
+    }
 
-    /// Holds the reply back until `reply` or `begin_events`, which may come
-    /// after the handler has returned.
+    /// Delays the reply until `reply` or `begin_events`, which may be called
+    /// after the handler of the server has returned.
     void defer();
 
 private:
@@ -65,7 +68,7 @@
 
     SoupServerMessage *message_;
     GHashTable *query_;
-    std::function<void()> hook_;
+    std::function<void()> closed_handler_;
     gulong finished_handler_ = 0;
     bool deferred_ = false;
     bool closed_ = false;
--- a/src/http_server.hpp
+++ b/src/http_server.hpp
@@ -14,12 +14,13 @@
 
 class http_exchange;
 
-/// HTTP server on the default GLib main context, for the stand-ins.
+/// HTTP server on the default GLib main context, for internal endpoints and the
+/// stand-ins.
 class http_server
 {
 public:
-    /// Serves one request; the reply may come after the handler has returned
-    /// if it calls `http_exchange::defer`.
+    /// Handles one request. A handler that calls `http_exchange::defer` may
+    /// reply after it has returned.
     using handler = std::function<void(std::shared_ptr<http_exchange>)>;
 
     http_server();
@@ -27,10 +28,10 @@
     http_server(http_server const &) = delete;
     http_server &operator=(http_server const &) = delete;
 
-    /// Serves `path` and all below it by `serve`.
+    /// Calls `serve` for requests to `path` and to paths below it.
     void add(char const *path, handler serve);
 
-    /// Begins to listen.
+    /// Starts listening.
     ///
     /// @param address IP address and port; port 0 takes a free one
     /// @return `settings_invalid` for an address that is malformed or in use
--- a/src/model_request.cpp
+++ b/src/model_request.cpp
@@ -15,13 +15,13 @@
 namespace
 {
 
-/// Bytes of prompt text that count as one token.
+/// Estimated bytes of prompt text per token.
 constexpr std::size_t bytes_per_token = 4;
 constexpr int default_output_tokens = 512;
 constexpr int max_output_tokens = 65536;
 
-/// Fault in a caller's body; caught by `parse_model_request`.
-struct body_fault
+/// Thrown for an invalid request body; caught by `parse_model_request`.
+struct invalid_body
 {
     std::string message;
 };
@@ -31,8 +31,8 @@
     auto const &value = json[name];
     if (!value.isString() || value.asString().empty())
     {
-        throw body_fault{std::string("\"") + name +
-                         "\" must be a string that is not empty"};
+        throw invalid_body{std::string("\"") + name +
+                           "\" must be a non-empty string"};
     }
     return value.asString();
 }
@@ -46,7 +46,7 @@
     }
     if (!value.isBool())
     {
-        throw body_fault{std::string("\"") + name + "\" must be a boolean"};
+        throw invalid_body{std::string("\"") + name + "\" must be a boolean"};
     }
     return value.asBool();
 }
@@ -62,8 +62,8 @@
     if (!value.isInt() || value.asInt() < 1 ||
         value.asInt() > max_output_tokens)
     {
-        throw body_fault{"\"max_tokens\" must be a number from 1 to " +
-                         std::to_string(max_output_tokens)};
+        throw invalid_body{"\"max_tokens\" must be an integer from 1 to " +
+                           std::to_string(max_output_tokens)};
     }
     return value.asInt();
 }
@@ -72,7 +72,7 @@
 {
     if (!part.isObject() || !part["text"].isString())
     {
-        throw body_fault{"a content part must be an object with a \"text\""};
+        throw invalid_body{"a content part must be an object with a \"text\""};
     }
     return part["text"].asString();
 }
@@ -85,7 +85,7 @@
     }
     if (!content.isArray())
     {
-        throw body_fault{"\"content\" must be a string or a list of parts"};
+        throw invalid_body{"\"content\" must be a string or a list of parts"};
     }
     std::string text;
     std::ranges::for_each(content, [&text](Json::Value const &part)
@@ -98,14 +98,14 @@
     auto const &messages = json["messages"];
     if (!messages.isArray() || messages.empty())
     {
-        throw body_fault{"\"messages\" must be a list that is not empty"};
+        throw invalid_body{"\"messages\" must be a non-empty list"};
     }
     std::string text;
     for (auto const &message : messages)
     {
         if (!message.isObject())
         {
-            throw body_fault{"a message must be an object"};
+            throw invalid_body{"a message must be an object"};
         }
         text += string_member(message, "role");
         text += ": ";
@@ -115,8 +115,8 @@
     return text;
 }
 
-/// Hash of each whole block of the prompt, chained so that a hash covers the
-/// blocks before it.
+/// @return hash of each full block of the prompt; each hash also covers the
+///         blocks before it
 std::vector<std::uint64_t> hash_prefixes(std::string_view prompt,
                                          int block_tokens)
 {
@@ -143,7 +143,7 @@
     }
     if (!seed.isInt64() && !seed.isUInt64())
     {
-        throw body_fault{"\"seed\" must be a whole number"};
+        throw invalid_body{"\"seed\" must be an integer"};
     }
     return seed.isUInt64() ? seed.asUInt64()
                            : static_cast<std::uint64_t>(seed.asInt64());
@@ -160,7 +160,7 @@
     auto const &count = json["n"];
     if (!count.isNull() && (!count.isInt() || count.asInt() != 1))
     {
-        throw body_fault{"\"n\" must be 1"};
+        throw invalid_body{"\"n\" must be 1"};
     }
 }
 
@@ -169,7 +169,7 @@
 {
     if (!json.isObject())
     {
-        throw body_fault{"the body must be a JSON object"};
+        throw invalid_body{"the body must be a JSON object"};
     }
     refuse_unsupported(json);
     auto prompt = kind == completion_kind::chat ? chat_prompt(json)
@@ -205,9 +205,9 @@
     {
         return read_request(kind, *json, caller);
     }
-    catch (body_fault const &fault)
+    catch (invalid_body const &error)
     {
-        return make_status(result_code::invalid_request, fault.message);
+        return make_status(result_code::invalid_request, error.message);
     }
 }
 
--- a/src/model_request.hpp
+++ b/src/model_request.hpp
@@ -10,7 +10,7 @@
 namespace agateledge
 {
 
-/// Shape of a model request and of its answer.
+/// Format of a model request and of its answer.
 enum class completion_kind
 {
     /// POST /v1/chat/completions
@@ -26,16 +26,16 @@
     request_arrival arrival;
     /// True when the answer is sent as server-sent events.
     bool stream = false;
-    /// True when the last event of a stream carries the use of tokens.
+    /// True when the last event of a stream carries the token usage.
     bool include_usage = false;
 };
 
 /// Reads the body of a model request.
 ///
-/// @param kind shape of the body
+/// @param kind endpoint that received the request
 /// @param body JSON document
 /// @param caller authenticated caller
-/// @return the request, or `invalid_request` naming the member at fault
+/// @return the request, or `invalid_request` that names the invalid member
 absl::StatusOr<model_request> parse_model_request(completion_kind kind,
                                                   std::string_view body,
                                                   std::string const &caller);
--- a/src/relay_process.cpp
+++ b/src/relay_process.cpp
@@ -17,19 +17,20 @@
 namespace
 {
 
-/// Interval at which the settings file is compared: it may change without a
-/// signal.
+/// Interval at which the settings file is polled, as it may change without a
+/// SIGHUP.
 constexpr guint file_check_interval_ms = 2000;
 
 constexpr int http_ok = 200;
 constexpr int http_unavailable = 503;
 
-/// Descriptors that are not for sockets, and those that one request takes: the
-/// caller's connection and the call to an instance.
+/// Descriptors reserved for other uses than requests, and descriptors per
+/// request: the caller's connection and the call to an instance.
 constexpr int reserved_descriptors = 200;
 constexpr int descriptors_per_request = 2;
 
-/// Time in which a caller must have sent the body of its request.
+/// Time within which a caller must send the headers of its first request, and
+/// the body of each request after its headers.
 constexpr duration body_timeout = seconds(15);
 
 listener_limits limits_of(relay_settings const &config)
@@ -52,7 +53,7 @@
       state_({config_.name, incarnation, config_.data_centre,
               config_.caller_address},
              seed),
-      loop_(state_), instance_http_(connection_use::single_call),
+      loop_(state_), instance_http_(connection_reuse::single_call),
       callers_(state_, loop_, codec_, limits_of(config_)),
       instances_(instance_http_, loop_, codec_), caches_(http_, loop_, codec_),
       rows_(http_, loop_, codec_, config_.store_address)
@@ -65,9 +66,9 @@
 
 relay_process::~relay_process()
 {
-    if (file_timer_ != 0)
+    if (file_check_timer_ != 0)
     {
-        g_source_remove(file_timer_);
+        g_source_remove(file_check_timer_);
     }
 }
 
@@ -101,8 +102,8 @@
     handlers.send_peer_load = [this](peer_load_send const &send)
     { send_peer_load(send); };
     peers_.on_datagram = [this](std::string_view bytes)
-    { take_peer_load(bytes); };
-    handlers.stop = [this] { stop_ready_ = true; };
+    { handle_peer_load(bytes); };
+    handlers.stop = [this] { stop_allowed_ = true; };
     callers_.on_hold = [this](request_number request, bool hold)
     { instances_.hold(request, hold); };
     readiness_.add(
@@ -140,11 +141,11 @@
     {
         file_text_ = *text;
     }
-    file_timer_ = g_timeout_add(
+    file_check_timer_ = g_timeout_add(
         file_check_interval_ms,
         [](gpointer self) -> gboolean
         {
-            static_cast<relay_process *>(self)->check_file();
+            static_cast<relay_process *>(self)->reload_if_changed();
             return G_SOURCE_CONTINUE;
         },
         this);
@@ -158,7 +159,7 @@
     return text.ok() ? std::optional(*text) : std::nullopt;
 }
 
-void relay_process::check_file()
+void relay_process::reload_if_changed()
 {
     auto const text = read_settings_file_text();
     if (text && *text != file_text_)
@@ -184,15 +185,16 @@
 
 void relay_process::apply(relay_settings const &config)
 {
-    bool const moved = config.caller_address != config_.caller_address ||
-                       config.readiness_address != config_.readiness_address;
+    bool const listeners_changed =
+        config.caller_address != config_.caller_address ||
+        config.readiness_address != config_.readiness_address;
     state_.relay.limits = config.limits;
     rows_.set_address(config.store_address);
     auto const level = set_log_level(config.log_level);
     log(level.ok() ? log_level::info : log_level::error, "reloaded",
         {{"store", config.store_address},
          {"log_level", config.log_level},
-         {"listeners_need_restart", moved ? "true" : "false"}});
+         {"listeners_need_restart", listeners_changed ? "true" : "false"}});
     loop_.input();
 }
 
@@ -206,7 +208,7 @@
         static_cast<std::uint64_t>(failed);
 }
 
-void relay_process::take_peer_load(std::string_view bytes)
+void relay_process::handle_peer_load(std::string_view bytes)
 {
     auto report = decode_peer_load(bytes);
     if (!report)
@@ -224,7 +226,7 @@
         return;
     }
     loop_.input().shutdown = true;
-    shutdown_.begin([this] { return stop_ready_; },
+    shutdown_.begin([this] { return stop_allowed_; },
                     [this]
                     {
                         log(log_level::info, "stopped", {});
--- a/src/relay_process.hpp
+++ b/src/relay_process.hpp
@@ -27,47 +27,47 @@
 namespace agateledge
 {
 
-/// One daemon behind the platform's balancer, with its adapters, on the default
-/// GLib main context.
+/// One proxy daemon behind the platform's load balancer: its state, event loop
+/// and network adapters, on the default GLib main context.
 class relay_process
 {
 public:
     /// @param config settings of the daemon
-    /// @param file settings file, which `reload` reads again
-    /// @param codec speaks the platform's interfaces
-    /// @param incarnation start time
-    /// @param seed seed of the daemon's random decisions
+    /// @param file settings file, read again by `reload`
+    /// @param codec encodes and decodes the platform's protocols
+    /// @param incarnation number of this run of the daemon: its start time
+    /// @param seed seed of the daemon's random number generator
     relay_process(relay_settings config, std::string file, relay_codec codec,
                   incarnation_number incarnation, std::uint64_t seed);
     ~relay_process();
     relay_process(relay_process const &) = delete;
     relay_process &operator=(relay_process const &) = delete;
 
-    /// Begins to listen and to follow the store.
+    /// Starts the listeners and begins to follow the store.
     ///
     /// @return `settings_invalid` when a setting cannot be used
     absl::Status start();
 
-    /// Reads the settings file again and puts in force what may change while
-    /// the daemon runs. The old settings stay on a failure.
+    /// Reloads the settings file and applies the settings that may change while
+    /// the daemon runs. On failure the previous settings stay in use.
     void reload();
 
-    /// Begins a graceful shutdown; `on_stopped` runs at its end.
+    /// Starts a graceful shutdown; `on_stopped` runs at its end.
     void shut_down();
 
     /// Called once the shutdown has finished.
     std::function<void()> on_stopped;
 
 private:
-    /// @return true while the daemon asks for new connections
+    /// @return true while the daemon reports itself ready for new connections
     bool ready() const;
 
     void install_handlers();
     void apply(relay_settings const &config);
-    void check_file();
+    void reload_if_changed();
     std::optional<std::string> read_settings_file_text() const;
     void send_peer_load(peer_load_send const &send);
-    void take_peer_load(std::string_view bytes);
+    void handle_peer_load(std::string_view bytes);
     void log(log_level level, std::string event,
              std::vector<std::pair<std::string, std::string>> fields);
 
@@ -87,8 +87,8 @@
     http_server readiness_;
     http_server metrics_;
     shutdown_wait shutdown_;
-    unsigned file_timer_ = 0;
-    bool stop_ready_ = false;
+    unsigned file_check_timer_ = 0;
+    bool stop_allowed_ = false;
 };
 
 } // namespace agateledge
--- a/src/relay_settings.cpp
+++ b/src/relay_settings.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr double most_retry_share = 10;
-constexpr double most_retries = 1e6;
-constexpr int most_descriptors = 1 << 20;
+constexpr double max_retry_share = 10;
+constexpr double max_extra_retries = 1e6;
+constexpr int max_descriptors_limit = 1 << 20;
 
 void read_listen(settings_reader &root, relay_settings &out)
 {
@@ -50,7 +50,8 @@
         return;
     }
     auto reader = root.below(*table, "limits");
-    reader.read("max_descriptors", out.max_descriptors, 64, most_descriptors);
+    reader.read("max_descriptors", out.max_descriptors, 64,
+                max_descriptors_limit);
     reader.read_seconds("shutdown_grace_s", out.limits.shutdown_grace);
     reader.read_milliseconds("drain_bound_ms", out.limits.drain_bound);
     reader.read_milliseconds("reconnect_bound_ms", out.limits.reconnect_bound);
@@ -66,13 +67,13 @@
     }
     auto reader = root.below(*table, "retries");
     auto &retries = out.limits.retries;
-    reader.read("share", retries.share, 0.0, most_retry_share);
-    reader.read("extra", retries.extra, 0.0, most_retries);
+    reader.read("share", retries.share, 0.0, max_retry_share);
+    reader.read("extra", retries.extra, 0.0, max_extra_retries);
     reader.read_seconds("window_s", retries.window);
     reader.finish();
 }
 
-void read_all(settings_reader &root, relay_settings &out)
+void read_settings(settings_reader &root, relay_settings &out)
 {
     root.read("name", out.name, true);
     root.read("data_centre", out.data_centre, true);
@@ -91,8 +92,9 @@
                                                     std::string const &file)
 {
     relay_settings out;
-    auto const status = read_settings_text(
-        text, file, [&out](settings_reader &root) { read_all(root, out); });
+    auto const status = read_settings_text(text, file,
+                                           [&out](settings_reader &root)
+                                           { read_settings(root, out); });
     if (!status.ok())
     {
         return status;
--- a/src/relay_settings.hpp
+++ b/src/relay_settings.hpp
@@ -11,7 +11,7 @@
 namespace agateledge
 {
 
-/// Settings of a daemon that runs behind the platform's balancer.
+/// Settings of a proxy daemon that runs behind the platform's load balancer.
 struct relay_settings
 {
     std::string name;
@@ -22,11 +22,11 @@
     std::string readiness_address;
     std::string metrics_address;
     std::string metrics_path = "/metrics";
-    /// Where reports of other daemons are received; empty for none.
+    /// IP address and port for load reports of other daemons; empty for none.
     std::string peer_address;
     /// IP address and port of the platform's store.
     std::string store_address;
-    /// Descriptors that the process may open.
+    /// Maximum number of open file descriptors of the process.
     int max_descriptors = 4096;
     relay_limits limits;
 
@@ -36,12 +36,13 @@
 /// Reads and checks a settings file.
 ///
 /// @param file path of the TOML file
-/// @return the settings, or `settings_invalid` with all faults of the file
+/// @return the settings, or `settings_invalid` listing all errors of the file
 absl::StatusOr<relay_settings> load_relay_settings(std::string const &file);
 
-/// As `load_relay_settings`, from a text.
+/// As `load_relay_settings`, for the text of a settings file.
 ///
-/// @param file name that the messages show
+/// @param text TOML document
+/// @param file file name used in error messages
 absl::StatusOr<relay_settings> parse_relay_settings(std::string const &text,
                                                     std::string const &file);
 
--- a/src/request_id.cpp
+++ b/src/request_id.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Longest offset that is accepted, in tokens.
+/// Largest accepted offset, in tokens.
 constexpr int max_offset = 10'000'000;
 
 std::string escape(std::string const &part)
@@ -32,16 +32,19 @@
     return std::string(parts) + "/" + std::string(caller);
 }
 
-/// Cuts the part after the last `separator` off `text`.
-std::optional<std::string_view> cut_last(std::string_view &text, char separator)
+/// Removes the last `separator` and the part after it from `text`.
+///
+/// @return the removed part, or nothing if there is no separator
+std::optional<std::string_view> split_last(std::string_view &text,
+                                           char separator)
 {
-    auto const place = text.rfind(separator);
-    if (place == std::string_view::npos)
+    auto const position = text.rfind(separator);
+    if (position == std::string_view::npos)
     {
         return std::nullopt;
     }
-    auto const part = text.substr(place + 1);
-    text = text.substr(0, place);
+    auto const part = text.substr(position + 1);
+    text = text.substr(0, position);
     return part;
 }
 
@@ -69,16 +72,16 @@
                                             std::string_view caller,
                                             signing_keys const &keys)
 {
-    auto const offset_text = cut_last(text, ':');
+    auto const offset_text = split_last(text, ':');
     auto const offset = offset_text ? offset_of(*offset_text) : std::nullopt;
-    auto const signature = cut_last(text, '/');
+    auto const signature = split_last(text, '/');
     if (!offset || !signature ||
         !keys.verify(signed_text(text, caller), *signature))
     {
         return std::nullopt;
     }
-    auto const key = cut_last(text, '/');
-    auto const engine = cut_last(text, '/');
+    auto const key = split_last(text, '/');
+    auto const engine = split_last(text, '/');
     auto const key_text = key ? unescape(*key) : std::nullopt;
     auto const engine_text = engine ? unescape(*engine) : std::nullopt;
     if (!key_text || !engine_text)
--- a/src/request_id.hpp
+++ b/src/request_id.hpp
@@ -13,8 +13,8 @@
 
 class signing_keys;
 
-/// Public id of a request: it names the engine and the stream, so that any
-/// daemon can find the answer without shared state.
+/// Public id of a request. It names the engine and the stream, so that any
+/// daemon can resume the answer without shared state.
 struct request_id
 {
     std::string data_centre;
@@ -27,7 +27,7 @@
 
 /// @param id parts of the id
 /// @param caller caller that the id is valid for
-/// @param keys the first one signs
+/// @param keys signing keys; the first one signs
 /// @return "<data centre>/<engine>/<stream key>/<signature>"
 std::string sign_request_id(request_id const &id, std::string_view caller,
                             signing_keys const &keys);
@@ -36,9 +36,9 @@
 ///
 /// @param text value of the header
 /// @param caller caller that sent it
-/// @param keys any of them may have signed
-/// @return the place to continue from, or nothing for a malformed or forged id
-///         and for the id of another caller
+/// @param keys signing keys; a signature by any of them is valid
+/// @return where to resume the stream, or nothing if the id is malformed,
+///         forged or belongs to another caller
 std::optional<resume_point> resume_point_of(std::string_view text,
                                             std::string_view caller,
                                             signing_keys const &keys);
--- a/src/run_relay.cpp
+++ b/src/run_relay.cpp
@@ -36,9 +36,9 @@
         return exit_usage;
     }
     run_main_loop(daemon);
-    // All answers are written and the log is not buffered. Taking the sessions
-    // apart waits for their open calls, longer than a planned stop may last;
-    // the kernel closes their sockets.
+    // Exits without running destructors: destroying the HTTP sessions waits for
+    // their open calls, longer than a planned stop may take. All answers have
+    // been written, the log is unbuffered, and the kernel closes the sockets.
     std::_Exit(exit_success);
 }
 
@@ -47,7 +47,7 @@
 int run_relay(std::vector<std::string> const &arguments)
 {
     command_options options(
-        "agateledge relay: runs one entry daemon behind the platform");
+        "agateledge relay: runs one proxy daemon behind the load balancer");
     options.add()("settings",
                   boost::program_options::value<std::string>()->default_value(
                       default_settings_file()),
--- a/src/run_relay.hpp
+++ b/src/run_relay.hpp
@@ -7,8 +7,8 @@
 namespace agateledge
 {
 
-/// Runs one daemon behind the platform's balancer until SIGTERM. SIGHUP reads
-/// the settings file again.
+/// Runs one proxy daemon behind the platform's load balancer until SIGTERM.
+/// SIGHUP reloads the settings file.
 ///
 /// @param arguments command line after the subcommand
 /// @return exit code of the process
--- a/src/shutdown_wait.cpp
+++ b/src/shutdown_wait.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// A shutdown takes seconds, so that it ends at most this much later.
+/// Short compared with a shutdown, which takes seconds.
 constexpr guint check_interval_ms = 20;
 
 } // namespace
--- a/src/shutdown_wait.hpp
+++ b/src/shutdown_wait.hpp
@@ -6,7 +6,8 @@
 namespace agateledge
 {
 
-/// Waits on the default GLib main context for the end of a graceful shutdown.
+/// Polls on the default GLib main context until a graceful shutdown has
+/// finished.
 class shutdown_wait
 {
 public:
@@ -15,13 +16,13 @@
     shutdown_wait(shutdown_wait const &) = delete;
     shutdown_wait &operator=(shutdown_wait const &) = delete;
 
-    /// @return true once the wait has begun
+    /// @return true once `begin` was called
     bool begun() const { return timer_ != 0; }
 
-    /// Begins to wait.
+    /// Starts polling.
     ///
-    /// @param is_finished true once the daemon has nothing left to do
-    /// @param on_finished runs once then
+    /// @param is_finished returns true once the daemon has no work left
+    /// @param on_finished runs once, after `is_finished` has returned true
     void begin(std::function<bool()> is_finished,
                std::function<void()> on_finished);
 
--- a/src/soup_headers.hpp
+++ b/src/soup_headers.hpp
@@ -8,10 +8,10 @@
 namespace agateledge
 {
 
-/// @return the headers in their order
+/// @return the headers in the order in which libsoup lists them
 header_list headers_from(SoupMessageHeaders *headers);
 
-/// Appends headers to those that are there.
+/// Appends headers; existing ones stay.
 void append_headers(SoupMessageHeaders *headers, header_list const &added);
 
 } // namespace agateledge
--- a/src/sse_reader.cpp
+++ b/src/sse_reader.cpp
@@ -31,22 +31,23 @@
 bool sse_reader::read(std::string_view bytes,
                       std::function<bool(std::string_view)> const &on_data)
 {
-    partial_.append(bytes);
+    partial_line_.append(bytes);
     std::size_t begin = 0;
-    auto end = partial_.find('\n');
+    auto end = partial_line_.find('\n');
     while (end != std::string::npos)
     {
-        auto const line = std::string_view(partial_).substr(begin, end - begin);
+        auto const line =
+            std::string_view(partial_line_).substr(begin, end - begin);
         auto const data = data_of(line);
         if (!data.empty() && !on_data(data))
         {
             return false;
         }
         begin = end + 1;
-        end = partial_.find('\n', begin);
+        end = partial_line_.find('\n', begin);
     }
-    partial_.erase(0, begin);
-    return partial_.size() <= max_line_bytes;
+    partial_line_.erase(0, begin);
+    return partial_line_.size() <= max_line_bytes;
 }
 
 } // namespace agateledge
--- a/src/sse_reader.hpp
+++ b/src/sse_reader.hpp
@@ -9,24 +9,24 @@
 namespace agateledge
 {
 
-/// Splits a stream of server-sent events into the data of its events. Engines
-/// send each event's data on one line.
+/// Parses a stream of server-sent events. Supports events with one data line,
+/// as engines send them.
 class sse_reader
 {
 public:
-    /// Longest line; a longer one ends the stream as malformed.
+    /// Maximum length of a line; a stream with a longer one is malformed.
     static constexpr std::size_t max_line_bytes = std::size_t{1} << 20;
 
     /// Reads the next bytes of the stream.
     ///
-    /// @param bytes the next part, cut at any place
-    /// @param on_data called with the data of each event; false stops
+    /// @param bytes next part of the stream, split at any position
+    /// @param on_data called with the data of each event; returns false to stop
     /// @return false when a line is too long or `on_data` stopped
     bool read(std::string_view bytes,
               std::function<bool(std::string_view)> const &on_data);
 
 private:
-    std::string partial_;
+    std::string partial_line_;
 };
 
 } // namespace agateledge
--- a/test/error/endless_reply_test.cpp
+++ b/test/error/endless_reply_test.cpp
@@ -1,6 +1,5 @@
-// Guards against a server in trouble that sends bytes without end, in a head or
-// a body, until the caller closes: memory must stay bounded and the call must
-// end, without waiting for its timeout.
+// Guards against a faulty server that sends an endless head or body: memory
+// must stay bounded, and the call must end before its timeout.
 #include "fixed_reply_server.hpp"
 #include "http_client.hpp"
 #include "raw_client.hpp"
@@ -15,15 +14,15 @@
 
 using namespace agateledge;
 
-/// Bytes that a server may send before the call ends: the longest reply that is
-/// collected, and what the sockets of both sides buffer.
-constexpr std::size_t most_bytes = http_client::max_reply_bytes * 2;
+/// Maximum bytes sent by the server before the call ends: the longest reply
+/// that is collected, plus the socket buffers of both sides.
+constexpr std::size_t max_sent_bytes = http_client::max_reply_bytes * 2;
 
 void expect_bounded(std::string const &begin,
                     http_outcome outcome = http_outcome::failed_after_send)
 {
     fixed_reply_server const server(begin, reply_ending::endless);
-    http_client client(connection_use::single_call);
+    http_client client(connection_reuse::single_call);
     std::optional<http_reply> got;
     http_request request;
     request.address = server.address();
@@ -32,11 +31,11 @@
     request.new_connection = true;
     client.send(request, [&got](http_reply const &answer) { got = answer; });
     run_until([&got] { return got.has_value(); });
-    ASSERT_TRUE(got.has_value()) << server.bytes_sent() << " bytes taken";
+    ASSERT_TRUE(got.has_value()) << server.bytes_sent() << " bytes sent";
     EXPECT_EQ(got->outcome, outcome);
     run_until([&server] { return server.closed_by_caller(); });
     EXPECT_TRUE(server.closed_by_caller());
-    EXPECT_LE(server.bytes_sent(), most_bytes);
+    EXPECT_LE(server.bytes_sent(), max_sent_bytes);
 }
 
 TEST(endless_reply, a_status_line_ends)
@@ -76,7 +75,7 @@
                    "4\r\nabcd\r\n0000");
 }
 
-// The body is whole before its trailers.
+// The body is complete before its trailers.
 TEST(endless_reply, trailers_end)
 {
     expect_bounded("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
