--- a/test/correctness/http_path_test.cpp
+++ b/test/correctness/http_path_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a break in the path from an HTTP caller through the adapters:
-// a streamed answer, a whole answer and a booking.
+// Tests the path from an HTTP caller through the network adapters: a streamed
+// answer, an answer as one document, and a booking.
 #include "edge_deployment.hpp"
 
 #include <gtest/gtest.h>
--- a/test/correctness/whole_path_test.cpp
+++ b/test/correctness/whole_path_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a break in the path from arrival to answer: a model request
-// must be answered whole and a booking must run once.
+// Tests the path from arrival to answer: a model request must be answered
+// completely and a booking must be executed once.
 #include "standin_text.hpp"
 #include "virtual_deployment.hpp"
 
--- a/test/error/edge_fuzz_test.cpp
+++ b/test/error/edge_fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Guards against bytes of callers, engines and the table service crashing the
-// daemon or being read as something that they do not say.
+// Guards against malformed input from callers, engines and the table service
+// crashing the daemon or being misread as valid input.
 #include "engine_protocol.hpp"
 #include "json_text.hpp"
 #include "model_request.hpp"
@@ -20,7 +20,7 @@
 
 using namespace agateledge;
 
-/// Runs a property with the same cases every time.
+/// Checks a property on a fixed sequence of generated cases.
 template <class Property>
 void check(Property property)
 {
@@ -34,10 +34,11 @@
     EXPECT_TRUE(result.template is<rc::detail::SuccessResult>()) << text.str();
 }
 
-// RC_ASSERT evaluates both sides of an `||` unless it is in parentheses.
+// The conditions below are in double parentheses, because RC_ASSERT evaluates
+// both sides of an unparenthesised `||`.
 
 /// A valid document with some bytes replaced, removed or repeated.
-std::string mutated(std::string text)
+std::string mutate(std::string text)
 {
     auto const edits = *rc::gen::inRange(0, 5);
     for (int i = 0; i < edits && !text.empty(); ++i)
@@ -65,7 +66,7 @@
     check(
         []
         {
-            auto const body = mutated(
+            auto const body = mutate(
                 R"({"model":"manual","stream":true,"max_tokens":12,"seed":4,)"
                 R"("messages":[{"role":"user","content":[{"type":"text",)"
                 R"("text":"hall 4?"}]}],"prompt":"hall 4?",)"
@@ -87,7 +88,7 @@
     check(
         []
         {
-            auto const text = mutated(
+            auto const text = mutate(
                 R"({"kind":"chunk","offset":3,"tokens":1,"text":"t",)"
                 R"("cached_tokens":2,"age_us":5,"running":1,"waiting":0,)"
                 R"("waiting_prefill_tokens":9,"kv_tokens_used":8,)"
@@ -109,7 +110,7 @@
     check(
         []
         {
-            auto const text = mutated(
+            auto const text = mutate(
                 R"({"outcome":"committed","rows":[{"key":"a","value":"{}",)"
                 R"("version":4}]})");
             auto const reply = table_reply_from_text({}, text);
@@ -131,28 +132,28 @@
             {
                 stream += "data: " + line + "\n\n";
             }
-            std::vector<std::string> whole;
+            std::vector<std::string> from_one_read;
             sse_reader reader;
             reader.read(stream,
-                        [&whole](std::string_view data)
+                        [&from_one_read](std::string_view data)
                         {
-                            whole.emplace_back(data);
+                            from_one_read.emplace_back(data);
                             return true;
                         });
-            std::vector<std::string> parts;
-            sse_reader by_parts;
+            std::vector<std::string> from_split_reads;
+            sse_reader split_reader;
             for (std::size_t i = 0; i < stream.size();)
             {
                 auto const size = *rc::gen::inRange<std::size_t>(1, 7);
-                by_parts.read(std::string_view(stream).substr(i, size),
-                              [&parts](std::string_view data)
-                              {
-                                  parts.emplace_back(data);
-                                  return true;
-                              });
+                split_reader.read(std::string_view(stream).substr(i, size),
+                                  [&from_split_reads](std::string_view data)
+                                  {
+                                      from_split_reads.emplace_back(data);
+                                      return true;
+                                  });
                 i += size;
             }
-            RC_ASSERT((whole == parts));
+            RC_ASSERT((from_one_read == from_split_reads));
         });
 }
 
@@ -165,7 +166,7 @@
             auto const id =
                 sign_request_id({"dc", "engine", "d:1:2"}, "caller", keys) +
                 ":5";
-            auto const changed = mutated(id);
+            auto const changed = mutate(id);
             auto const point = resume_point_of(changed, "caller", keys);
             auto const same_id = changed.substr(0, changed.rfind(':')) ==
                                  id.substr(0, id.rfind(':'));
--- a/test/error/flow_control_test.cpp
+++ b/test/error/flow_control_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a slow reader making the daemon buffer an answer without
-// bound: the engine must be held back by TCP and continue afterwards.
+// Guards against unbounded buffering of an answer for a slow reader: TCP flow
+// control must stop the engine, and it must continue once the caller reads.
 #include "edge_deployment.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 constexpr int total_chunks = 3000;
 constexpr std::size_t chunk_bytes = 4096;
 
-/// Engine that writes its next chunk when the one before has been sent.
+/// Engine that writes its next chunk when the previous one has been sent.
 struct chunk_engine
 {
     SoupServerMessage *message = nullptr;
--- a/test/error/http_resend_test.cpp
+++ b/test/error/http_resend_test.cpp
@@ -1,5 +1,5 @@
-// Guards against the HTTP library sending a call a second time by itself: a
-// call that may have run must be reported, not repeated.
+// Guards against the HTTP library resending a request by itself: a call that
+// may have been executed must be reported as failed, not repeated.
 #include "http_client.hpp"
 #include "raw_client.hpp"
 
@@ -74,7 +74,7 @@
         {
             return G_SOURCE_REMOVE;
         }
-        // The head and the body may arrive apart; the body is "{}".
+        // The head and the body may arrive in separate reads; the body is "{}".
         if (buffer.at(static_cast<std::size_t>(count) - 1) != '}')
         {
             return G_SOURCE_CONTINUE;
@@ -123,12 +123,13 @@
 TEST(http_resend, a_refused_connect_is_reported_before_send)
 {
     http_client client;
-    int unused = 0;
+    int closed_port = 0;
     {
         closing_server const server;
-        unused = server.port;
+        closed_port = server.port;
     }
-    EXPECT_EQ(post(client, unused).outcome, http_outcome::failed_before_send);
+    EXPECT_EQ(post(client, closed_port).outcome,
+              http_outcome::failed_before_send);
 }
 
 TEST(http_resend, an_invalid_address_is_reported_before_send)
--- a/test/error/listener_peers_test.cpp
+++ b/test/error/listener_peers_test.cpp
@@ -1,5 +1,5 @@
-// Guards against slow, half-closed and departed callers holding connections,
-// engine streams or memory.
+// Guards against slow, half-closed and disconnected callers occupying
+// connections, engine streams or memory.
 #include "edge_deployment.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
 constexpr std::string_view stream_body =
     R"({"model":"manual","stream":true,"prompt":"where is hall 4?"})";
 
-/// Leaves the engine's answer open until the test ends it.
-void hold_engine(edge_deployment &deployment)
+/// Keeps the engine's answer open until the test ends it.
+void keep_answer_open(edge_deployment &deployment)
 {
     deployment.on_generate =
         [](SoupServerMessage *message, std::string const &, std::string const &)
@@ -61,7 +61,7 @@
 TEST(listener_peers, departed_caller_cancels_the_stream)
 {
     edge_deployment deployment;
-    hold_engine(deployment);
+    keep_answer_open(deployment);
     raw_client client(deployment.port());
     client.send(
         http_text("POST", "/v1/completions", caller_headers, stream_body));
@@ -81,7 +81,7 @@
 TEST(listener_peers, departure_is_seen_before_any_answer)
 {
     edge_deployment deployment;
-    hold_engine(deployment);
+    keep_answer_open(deployment);
     raw_client client(deployment.port());
     client.send(http_text("POST", "/v1/completions", caller_headers,
                           R"({"model":"manual","prompt":"hall 4?"})"));
--- a/test/error/listener_refusals_test.cpp
+++ b/test/error/listener_refusals_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that are malformed, too large or not authenticated
-// reaching an endpoint, or ending without a clear error.
+// Guards against malformed, oversized or unauthenticated requests reaching an
+// endpoint or ending without a specific error.
 #include "edge_deployment.hpp"
 
 #include <gtest/gtest.h>
@@ -10,10 +10,10 @@
 using namespace agateledge;
 
 constexpr std::string_view completions = "/v1/completions";
-constexpr std::string_view good_body =
+constexpr std::string_view valid_body =
     R"({"model":"manual","prompt":"where is hall 4?"})";
 
-bool has(std::string const &text, std::string_view part)
+bool contains(std::string const &text, std::string_view part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -23,11 +23,11 @@
     edge_deployment deployment;
     raw_client client(deployment.port());
     client.send(http_text("POST", completions,
-                          "Authorization: Bearer guess\r\n", good_body));
+                          "Authorization: Bearer guess\r\n", valid_body));
     ASSERT_TRUE(client.read_until("\"not_run\":true"));
-    EXPECT_TRUE(has(client.received, "HTTP/1.1 401")) << client.received;
-    EXPECT_TRUE(has(client.received, "\"code\":\"unauthenticated\""));
-    EXPECT_TRUE(has(client.received, "\"number\":101"));
+    EXPECT_TRUE(contains(client.received, "HTTP/1.1 401")) << client.received;
+    EXPECT_TRUE(contains(client.received, "\"code\":\"unauthenticated\""));
+    EXPECT_TRUE(contains(client.received, "\"number\":101"));
     EXPECT_EQ(deployment.requests["/v1/generate"], 0);
     EXPECT_EQ(deployment.daemon->state().totals.requests, 0U);
 }
@@ -36,7 +36,7 @@
 {
     edge_deployment deployment;
     raw_client client(deployment.port());
-    client.send(http_text("POST", completions, "", good_body));
+    client.send(http_text("POST", completions, "", valid_body));
     EXPECT_TRUE(client.read_until("unauthenticated"));
 }
 
@@ -46,8 +46,8 @@
                                { config.limits.max_body_bytes = 1000; });
     auto const text = deployment.call("POST", completions, "",
                                       std::string(1001, 'x'), "not_run");
-    EXPECT_TRUE(has(text, "HTTP/1.1 413")) << text;
-    EXPECT_TRUE(has(text, "body_too_large"));
+    EXPECT_TRUE(contains(text, "HTTP/1.1 413")) << text;
+    EXPECT_TRUE(contains(text, "body_too_large"));
     EXPECT_EQ(deployment.daemon->state().totals.requests, 0U);
 }
 
@@ -90,8 +90,8 @@
                                { config.limits.max_header_bytes = 2000; });
     auto const text = deployment.call(
         "POST", completions, "X-Long: " + std::string(3000, 'x') + "\r\n",
-        good_body, "not_run");
-    EXPECT_TRUE(has(text, "HTTP/1.1 431")) << text;
+        valid_body, "not_run");
+    EXPECT_TRUE(contains(text, "HTTP/1.1 431")) << text;
 }
 
 TEST(listener_refusals, malformed_json)
@@ -99,8 +99,8 @@
     edge_deployment deployment;
     auto const text =
         deployment.call("POST", completions, "", R"({"model":)", "not_run");
-    EXPECT_TRUE(has(text, "HTTP/1.1 400")) << text;
-    EXPECT_TRUE(has(text, "\"code\":\"invalid_request\""));
+    EXPECT_TRUE(contains(text, "HTTP/1.1 400")) << text;
+    EXPECT_TRUE(contains(text, "\"code\":\"invalid_request\""));
 }
 
 TEST(listener_refusals, malformed_http_is_cut)
@@ -115,25 +115,28 @@
 TEST(listener_refusals, unknown_path_and_wrong_method)
 {
     edge_deployment deployment;
-    EXPECT_TRUE(has(deployment.call("POST", "/v1/other", "", "{}", "not_run"),
-                    "HTTP/1.1 404"));
-    EXPECT_TRUE(has(deployment.call("PUT", completions, "", "{}", "not_run"),
-                    "HTTP/1.1 405"));
+    EXPECT_TRUE(
+        contains(deployment.call("POST", "/v1/other", "", "{}", "not_run"),
+                 "HTTP/1.1 404"));
+    EXPECT_TRUE(
+        contains(deployment.call("PUT", completions, "", "{}", "not_run"),
+                 "HTTP/1.1 405"));
 }
 
 TEST(listener_refusals, unknown_model_class_and_service)
 {
     edge_deployment deployment;
-    EXPECT_TRUE(has(deployment.call("POST", completions, "",
-                                    R"({"model":"m","prompt":"p"})", "not_run"),
-                    "unknown_model"));
-    EXPECT_TRUE(
-        has(deployment.call("POST", completions, "Agateledge-Class: other\r\n",
-                            good_body, "not_run"),
-            "unknown_class"));
     EXPECT_TRUE(
-        has(deployment.call("GET", "/v1/services/other/a", "", "", "not_run"),
-            "unknown_service"));
+        contains(deployment.call("POST", completions, "",
+                                 R"({"model":"m","prompt":"p"})", "not_run"),
+                 "unknown_model"));
+    EXPECT_TRUE(contains(deployment.call("POST", completions,
+                                         "Agateledge-Class: other\r\n",
+                                         valid_body, "not_run"),
+                         "unknown_class"));
+    EXPECT_TRUE(contains(
+        deployment.call("GET", "/v1/services/other/a", "", "", "not_run"),
+        "unknown_service"));
 }
 
 TEST(listener_refusals, booking_without_a_key_is_not_run)
@@ -141,7 +144,7 @@
     edge_deployment deployment;
     auto const text =
         deployment.call("POST", "/v1/services/desk/book", "", "{}", "not_run");
-    EXPECT_TRUE(has(text, "idempotency_key_missing")) << text;
+    EXPECT_TRUE(contains(text, "idempotency_key_missing")) << text;
     EXPECT_EQ(deployment.requests["/book"], 0);
 }
 
--- a/test/error/resume_id_test.cpp
+++ b/test/error/resume_id_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a caller continuing a stream that it does not own: request ids
-// are signed and bound to the caller, and keys can be replaced.
+// Guards against a caller resuming a stream of another caller: request ids are
+// signed and bound to the caller, and signing keys can be rotated.
 #include "edge_deployment.hpp"
 #include "request_id.hpp"
 #include "signing_keys.hpp"
--- a/test/error/truncated_reply_test.cpp
+++ b/test/error/truncated_reply_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a reply that breaks off being taken for a whole one, whatever
-// frames its body and however its connection ends.
+// Guards against a truncated reply being taken for a complete one, for each
+// framing of the body and each way in which the connection can end.
 #include "fixed_reply_server.hpp"
 #include "http_client.hpp"
 #include "raw_client.hpp"
@@ -49,7 +49,8 @@
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
     "Connection: close\r\n\r\n";
 
-// A leaving engine ends its streams like this; they were cut as torn.
+// An engine that shuts down ends its streams like this; they used to be
+// reported as truncated.
 TEST(truncated_reply, a_whole_chunked_body_may_announce_the_close)
 {
     auto const reply = std::string(closing_head) + "4\r\nabcd\r\n0\r\n\r\n";
