--- a/src/http_call.cpp
+++ b/src/http_call.cpp
@@ -25,10 +25,10 @@
     {
         return;
     }
-    auto *kept = new shared_text(body);
+    auto *owner = new shared_text(body);
     GBytes *bytes = g_bytes_new_with_free_func(
         body->data(), body->size(),
-        [](gpointer data) { delete static_cast<shared_text *>(data); }, kept);
+        [](gpointer data) { delete static_cast<shared_text *>(data); }, owner);
     soup_message_set_request_body_from_bytes(
         message, content_type.empty() ? nullptr : content_type.c_str(), bytes);
     g_bytes_unref(bytes);
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -135,22 +135,23 @@
 void http_client::send(http_request const &request,
                        std::function<void(http_reply const &)> on_reply)
 {
-    auto const parts = std::make_shared<collector>();
-    parts->on_reply = std::move(on_reply);
+    auto const collected = std::make_shared<collector>();
+    collected->on_reply = std::move(on_reply);
     http_call_handlers handlers;
-    handlers.on_head = [parts](int status, SoupMessageHeaders *)
-    { parts->reply.status = status; };
-    handlers.on_bytes = [this, parts](std::string_view bytes)
+    handlers.on_head = [collected](int status, SoupMessageHeaders *)
+    { collected->reply.status = status; };
+    handlers.on_bytes = [this, collected](std::string_view bytes)
     {
         // Closes the connection at once, because the reply may be endless.
-        if (!parts->add(bytes))
+        if (!collected->add(bytes))
         {
-            cancel(parts->call.lock());
-            parts->end(http_outcome::failed_after_send);
+            cancel(collected->call.lock());
+            collected->end(http_outcome::failed_after_send);
         }
     };
-    handlers.on_end = [parts](http_outcome outcome) { parts->end(outcome); };
-    parts->call = open(request, std::move(handlers));
+    handlers.on_end = [collected](http_outcome outcome)
+    { collected->end(outcome); };
+    collected->call = open(request, std::move(handlers));
 }
 
 } // namespace agateledge
--- a/src/relay_listener.hpp
+++ b/src/relay_listener.hpp
@@ -42,7 +42,8 @@
     /// Starts listening; see `connection_gate::start`.
     absl::Status start(std::string const &address);
 
-    /// Writes an answer, or the next part of one.
+    /// Writes a complete answer, or the start, the next chunk or the end of a
+    /// streamed one.
     void answer(relay_answer const &answer);
 
     /// Called when the reader of a stream stalls (true) or has read all
--- a/src/request_id.hpp
+++ b/src/request_id.hpp
@@ -25,7 +25,7 @@
     auto operator<=>(request_id const &) const = default;
 };
 
-/// @param id parts of the id
+/// @param id id to sign
 /// @param caller caller that the id is valid for
 /// @param keys signing keys; the first one signs
 /// @return "<data centre>/<engine>/<stream key>/<signature>"
