--- a/src/admit_relays.cpp
+++ b/src/admit_relays.cpp
@@ -14,14 +14,15 @@
 namespace
 {
 
-/// Time after the shutdown signal for which requests are still taken. Those
-/// taken later might not end before the process is stopped by force.
-constexpr duration service_after_stop = seconds(3);
+/// Time after the shutdown signal during which requests are still admitted.
+/// Requests admitted later might not finish before the process is killed.
+constexpr duration shutdown_admission_time = seconds(3);
 
-/// Wait of callers that a stopping daemon sends to another one.
+/// Retry-after time of requests refused during shutdown; the retry reaches
+/// another daemon.
 constexpr duration stopping_retry_after = milliseconds(200);
 
-/// Wait of callers while this daemon does not know the configuration yet.
+/// Retry-after time of requests that arrive before the configuration.
 constexpr duration unready_retry_after = milliseconds(500);
 
 std::string choose_service(world &w, route_definition const &route)
@@ -41,7 +42,8 @@
     return chosen == route.services.end() ? std::string() : chosen->service;
 }
 
-/// @return the route, kept alive with its configuration
+/// @return the route, which shares ownership of the configuration; null when
+///         none matches
 std::shared_ptr<route_definition const> route_of(world const &w,
                                                  relay_request const &content)
 {
@@ -50,10 +52,10 @@
     return {w.relay.routing, route};
 }
 
-bool stops_taking(world const &w)
+bool admission_closed(world const &w)
 {
     auto const &since = w.relay.stopping_since;
-    return since && w.now - *since > service_after_stop;
+    return since && w.now - *since > shutdown_admission_time;
 }
 
 void admit(world &w, relay_arrival const &arrival)
@@ -72,15 +74,16 @@
         refuse_relay(w, arrival.request,
                      known ? result_code::unknown_route
                            : result_code::configuration_stale,
-                     known ? "no route matches the host and path"
-                           : "the configuration is not known yet",
+                     known
+                         ? "no route matches the host and path"
+                         : "the routing configuration has not been loaded yet",
                      known ? std::nullopt : std::optional(unready_retry_after));
         return;
     }
-    if (stops_taking(w))
+    if (admission_closed(w))
     {
         refuse_relay(w, arrival.request, result_code::daemon_draining,
-                     "the daemon stops",
+                     "the daemon is shutting down",
                      spread_retry_after(w, stopping_retry_after));
         return;
     }
@@ -100,13 +103,14 @@
     {
         request.chain = shared_chain_of(*arrival.content->prompt);
     }
-    w.relay.budgets[request.service].count_request(w.now);
+    w.relay.budgets[request.service].record_request(w.now);
     w.relay.expiries.add(request.expires_at, arrival.request);
     w.relay.waiting.push_back(arrival.request);
-    note_request(w, request, "request_admitted",
-                 {{"service", request.service},
-                  {"configuration", std::to_string(w.relay.routing->version)},
-                  {"time_ms", milliseconds_text(request.expires_at - w.now)}});
+    buffer_request_log(
+        w, request, "request_admitted",
+        {{"service", request.service},
+         {"configuration", std::to_string(w.relay.routing->version)},
+         {"time_ms", milliseconds_text(request.expires_at - w.now)}});
 }
 
 void leave(world &w, relay_departure const &departure)
--- a/src/admit_relays.hpp
+++ b/src/admit_relays.hpp
@@ -6,11 +6,11 @@
 
 struct world;
 
-/// Takes the requests that arrived since the last tick: selects their route and
-/// service, bounds their time, and refuses those that no route allows. Also
-/// ends the requests whose callers have left.
+/// Admits the requests that arrived since the last tick: selects their route
+/// and service, sets their deadlines, and refuses those that match no route.
+/// Also ends the requests whose callers have disconnected.
 ///
-/// @param w the daemon
+/// @param w state of the daemon
 void admit_relays(world &w);
 
 } // namespace agateledge
--- a/src/advance_relays.cpp
+++ b/src/advance_relays.cpp
@@ -24,22 +24,23 @@
 constexpr int http_too_many_requests = 429;
 constexpr int http_unavailable = 503;
 
-/// Longest answer that is collected before it is passed on.
-constexpr std::size_t max_whole_answer = std::size_t{16} << 20;
+/// Maximum size of an answer that is buffered before it is forwarded.
+constexpr std::size_t max_answer_bytes = std::size_t{16} << 20;
 
-/// Longest event of a stream.
+/// Maximum size of one event of a stream.
 constexpr std::size_t max_event_bytes = std::size_t{1} << 20;
 
-/// Pause before a request that a full instance refused is sent elsewhere.
-constexpr duration refused_pause = milliseconds(5);
+/// Back-off before a request that an overloaded instance refused is sent to
+/// another one.
+constexpr duration refusal_backoff = milliseconds(5);
 
 bool is_success(int status)
 {
     return status >= http_ok && status < first_redirect_status;
 }
 
-/// @return true for a status that tells the caller that its request did not run
-bool promises_not_run(int status)
+/// @return true for a status that means to callers that the request did not run
+bool means_not_run(int status)
 {
     return status == http_request_timeout || status == http_misdirected ||
            status == http_too_many_requests || status == http_unavailable;
@@ -56,9 +57,11 @@
     ++w.relay.metrics.calls[result];
 }
 
-/// Sends the request elsewhere, or ends it.
+/// Queues the request for another call, or fails it when none is allowed.
 ///
-/// @param arrived the failed call reached an instance
+/// @param arrived the failed call reached an instance, so that the next one
+///        counts against the retry budget
+/// @param pause back-off before the next call
 void try_again(world &w, request_number number, bool arrived, duration pause,
                std::string const &reason)
 {
@@ -94,18 +97,19 @@
     {
         return;
     }
-    note_request(w, *request, "call_failed",
-                 {{"instance", instance},
-                  {"sent", sent ? "true" : "false"},
-                  {"stage", prefill ? "prefill" : "run"},
-                  {"reason", reason}});
+    buffer_request_log(w, *request, "call_failed",
+                       {{"instance", instance},
+                        {"sent", sent ? "true" : "false"},
+                        {"stage", prefill ? "prefill" : "run"},
+                        {"reason", reason}});
     if (!sent)
     {
         request->runs -= prefill ? 0 : 1;
         --request->sends;
     }
     request->prefill_failed |= prefill && sent;
-    // The engine may have taken the handle; what it still keeps expires.
+    // The handle may have been used, so it is not offered again; an unused KV
+    // cache expires on the engine that holds it.
     request->kept.reset();
     try_again(w, number, sent, duration(0), reason);
 }
@@ -121,21 +125,22 @@
     auto *instance = w.relay.instances.find(id);
     if (head.wrong_instance && instance != nullptr)
     {
-        instance->address_taken = true;
+        instance->address_reused = true;
     }
     auto *request = w.relay.requests.find(number);
     if (request == nullptr)
     {
         return;
     }
-    note_request(w, *request, "call_refused",
-                 {{"instance", id},
-                  {"status", std::to_string(head.status)},
-                  {"wrong_instance", head.wrong_instance ? "true" : "false"}});
+    buffer_request_log(
+        w, *request, "call_refused",
+        {{"instance", id},
+         {"status", std::to_string(head.status)},
+         {"wrong_instance", head.wrong_instance ? "true" : "false"}});
     request->runs -= prefill ? 0 : 1;
     request->prefill_failed |= prefill || request->kept.has_value();
     release_kept_prefill(w, *request);
-    try_again(w, number, true, refused_pause,
+    try_again(w, number, true, refusal_backoff,
               "the instance refused the call with status " +
                   std::to_string(head.status));
 }
@@ -156,7 +161,8 @@
     if (is_success(head->status) && !head->is_signed &&
         attempt.stage == relay_stage::run)
     {
-        call_failed(w, attempt, true, "the reply is not signed");
+        call_failed(w, attempt, true,
+                    "the reply is not signed by the instance");
         return;
     }
     if (auto *request = w.relay.requests.find(attempt.request))
@@ -165,8 +171,8 @@
     }
 }
 
-/// Learns from the first bytes of a reply.
-void note_first_bytes(world &w, relay_attempt &attempt)
+/// Updates the predictions for the instance from the first bytes of a reply.
+void record_first_bytes(world &w, relay_attempt &attempt)
 {
     if (std::exchange(attempt.answered, true))
     {
@@ -182,8 +188,9 @@
     {
         instance->cache.confirm(request->chain);
     }
-    learn_first_event(w, *instance, attempt.sent_at, attempt.predicted,
-                      attempt.unread_tokens, attempt.calls_before == 0);
+    update_first_event_estimate(w, *instance, attempt.sent_at,
+                                attempt.predicted, attempt.unread_tokens,
+                                attempt.calls_before == 0);
     w.relay.metrics.late_by.add(
         std::max(w.now - attempt.sent_at - attempt.predicted, duration(0)));
 }
@@ -204,8 +211,8 @@
     w.out.relay_answers.push_back(std::move(answer));
 }
 
-void note_event_time(world &w, relay_attempt const &attempt,
-                     relay_state_entry &request)
+void record_event_time(world &w, relay_attempt const &attempt,
+                       relay_state_entry &request)
 {
     auto const last = std::exchange(request.last_event_at, w.now);
     if (last == instant{})
@@ -216,12 +223,12 @@
     request.longest_pause = std::max(request.longest_pause, pause);
     if (auto *instance = w.relay.instances.find(attempt.instance))
     {
-        learn_pause(w, *instance, pause);
+        update_pause_estimate(w, *instance, pause);
     }
 }
 
-void pass_events(world &w, relay_attempt const &attempt,
-                 relay_state_entry &request)
+void forward_events(world &w, relay_attempt const &attempt,
+                    relay_state_entry &request)
 {
     auto events = take_new_events(request.partial_event, request.last_event);
     if (events.empty())
@@ -229,7 +236,7 @@
         return;
     }
     begin_answer(w, request);
-    note_event_time(w, attempt, request);
+    record_event_time(w, attempt, request);
     relay_answer answer;
     answer.request = request.number;
     answer.kind = relay_answer_kind::part;
@@ -244,20 +251,20 @@
     {
         return;
     }
-    note_first_bytes(w, attempt);
+    record_first_bytes(w, attempt);
     if (is_stream(*request))
     {
         request->partial_event += bytes;
-        pass_events(w, attempt, *request);
+        forward_events(w, attempt, *request);
     }
     else
     {
         request->body += bytes;
     }
     if (request->partial_event.size() > max_event_bytes ||
-        request->body.size() > max_whole_answer)
+        request->body.size() > max_answer_bytes)
     {
-        call_failed(w, attempt, true, "the reply is too long");
+        call_failed(w, attempt, true, "the reply exceeds the size limit");
     }
 }
 
@@ -271,7 +278,7 @@
     finish_relay(w, request.number, "answered");
 }
 
-void pass_whole(world &w, relay_state_entry &request)
+void forward_complete_answer(world &w, relay_state_entry &request)
 {
     request.first_event_at = w.now;
     relay_answer answer;
@@ -286,27 +293,29 @@
     finish_relay(w, request.number, success ? "answered" : "endpoint_error");
 }
 
-/// Passes a failure of the instance on, or repeats the call.
-void take_error(world &w, relay_state_entry &request)
+/// Retries the call, fails the request, or forwards the error reply.
+void handle_error_reply(world &w, relay_state_entry &request)
 {
     auto const status = request.head->status;
-    bool const again =
-        status >= first_server_error && request.route->repeatable() &&
-        retry_relay(w, request, true, duration(0),
-                    "the instance answered " + std::to_string(status));
+    bool const again = status >= first_server_error &&
+                       request.route->repeatable() &&
+                       retry_relay(w, request, true, duration(0),
+                                   "the instance replied with status " +
+                                       std::to_string(status));
     if (again)
     {
         request.head.reset();
         request.body.clear();
         return;
     }
-    if (request.answering || promises_not_run(status))
+    if (request.answering || means_not_run(status))
     {
         fail_relay(w, request.number,
-                   "the instance failed with status " + std::to_string(status));
+                   "the instance replied with status " +
+                       std::to_string(status));
         return;
     }
-    pass_whole(w, request);
+    forward_complete_answer(w, request);
 }
 
 void take_end(world &w, relay_attempt &attempt)
@@ -314,15 +323,16 @@
     auto *request = w.relay.requests.find(attempt.request);
     if (request == nullptr || !request->head)
     {
-        call_failed(w, attempt, true, "the reply has no head");
+        call_failed(w, attempt, true, "the reply ended before its head");
         return;
     }
     if (is_stream(*request) && !request->partial_event.empty())
     {
-        call_failed(w, attempt, true, "the stream ended within an event");
+        call_failed(w, attempt, true,
+                    "the stream ended in the middle of an event");
         return;
     }
-    note_first_bytes(w, attempt);
+    record_first_bytes(w, attempt);
     bool const success = is_success(request->head->status);
     count_call(w, success ? "answered" : "error");
     close_attempt(w, attempt.attempt,
@@ -331,7 +341,7 @@
                       : call_result::succeeded);
     if (!success)
     {
-        take_error(w, *request);
+        handle_error_reply(w, *request);
         return;
     }
     if (is_stream(*request))
@@ -339,10 +349,10 @@
         end_stream(w, *request);
         return;
     }
-    pass_whole(w, *request);
+    forward_complete_answer(w, *request);
 }
 
-void take_event(world &w, relay_event const &event)
+void handle_event(world &w, relay_event const &event)
 {
     auto *attempt = w.relay.requests.find(event.attempt);
     if (attempt == nullptr)
@@ -361,15 +371,17 @@
         take_end(w, *attempt);
         return;
     case relay_event_kind::failed_before_send:
-        call_failed(w, *attempt, false, "no connection was made");
+        call_failed(w, *attempt, false, "could not connect to the instance");
         return;
     case relay_event_kind::failed_after_send:
-        call_failed(w, *attempt, true, "the connection failed");
+        call_failed(
+            w, *attempt, true,
+            "the connection failed after the request may have been sent");
         return;
     }
 }
 
-void take_prefill(world &w, prefill_result const &result)
+void handle_prefill_result(world &w, prefill_result const &result)
 {
     auto *attempt = w.relay.requests.find(result.attempt);
     if (attempt == nullptr)
@@ -380,18 +392,18 @@
     auto const *instance = w.relay.instances.find(attempt->instance);
     if (request == nullptr || instance == nullptr || result.handle.empty())
     {
-        call_failed(w, *attempt, true, "the prefill left no handle");
+        call_failed(w, *attempt, true, "the prefill reply has no KV handle");
         return;
     }
-    note_first_bytes(w, *attempt);
+    record_first_bytes(w, *attempt);
     count_call(w, "prefilled");
     ++w.relay.metrics.prefill_handovers;
     request->kept = kept_prefill{attempt->instance,
                                  instance->definition.address, result.handle};
     close_attempt(w, result.attempt, call_result::succeeded);
     w.relay.waiting.push_back(request->number);
-    note_request(w, *request, "prompt_read",
-                 {{"instance", request->kept->instance}});
+    buffer_request_log(w, *request, "prompt_read",
+                       {{"instance", request->kept->instance}});
 }
 
 } // namespace
@@ -399,10 +411,10 @@
 void advance_relays(world &w)
 {
     std::ranges::for_each(w.in.relay_events, [&w](relay_event const &event)
-                          { take_event(w, event); });
+                          { handle_event(w, event); });
     std::ranges::for_each(w.in.prefill_results,
                           [&w](prefill_result const &result)
-                          { take_prefill(w, result); });
+                          { handle_prefill_result(w, result); });
 }
 
 } // namespace agateledge
--- a/src/advance_relays.hpp
+++ b/src/advance_relays.hpp
@@ -6,12 +6,12 @@
 
 struct world;
 
-/// Takes the progress of calls to instances: passes answers on, streams by
-/// whole events, and decides what a failed call means for its request. A
-/// request is sent again only where its route and the proof of what has run
-/// allow it.
+/// Handles the replies and failures of calls to instances: forwards answers to
+/// callers, streams event by event, and retries or ends the requests of failed
+/// calls. A request is retried only if its route allows repeats or no call can
+/// have run, and a stream that has begun only if its route is resumable.
 ///
-/// @param w the daemon
+/// @param w state of the daemon
 void advance_relays(world &w);
 
 } // namespace agateledge
--- a/src/choose_instance.cpp
+++ b/src/choose_instance.cpp
@@ -17,61 +17,60 @@
 namespace
 {
 
-/// Time that the transfer of a KV cache to a decode engine adds: two more
-/// calls' set-up and the transfer of a long prompt.
+/// Time added by handing a KV cache to a decode engine: the set-up of two more
+/// calls and the transfer of the cache of a long prompt.
 constexpr duration handover_time = milliseconds(35);
 
-/// Cost of a place further down the ranking for a prompt's shared parts, so
-/// that daemons that know of no engine that holds them choose the same one.
+/// Cost per place in the ranking for a prompt's shared parts. It makes daemons
+/// that know of no engine with these parts choose the same one.
 constexpr duration rank_cost = milliseconds(3);
-/// Ranks beyond this one cost the same.
-constexpr int last_rank = 8;
+/// Upper limit of the rank in the cost; lower-ranked engines cost the same.
+constexpr int max_rank = 8;
 
 /// Cost of sending to another data centre: the round trip of the request and
-/// of its answer, and the bytes between data centres.
+/// its answer, and the transfer between data centres.
 constexpr duration remote_cost = milliseconds(4);
 
-/// Cost of a token that is copied from another engine, in seconds, beside the
-/// time of the copy: it displaces other parts from the engine's cache.
+/// Cost of a token that is copied from another engine, in seconds, in addition
+/// to the copy time: it evicts other parts from the engine's cache.
 constexpr double copied_token_cost_s = 40e-6;
 
-/// Requests at one engine, over all daemons, from which on long prompts wait at
-/// the daemon. An engine reads one prompt after the other, and a short urgent
-/// prompt that arrives behind long ones waits for them.
-constexpr double requests_at_once = 8;
+/// Open requests at one engine, over all daemons, at which long prompts are
+/// held back in the daemon. An engine processes prompts one after the other, so
+/// a short urgent prompt would wait for all long ones sent before it.
+constexpr double max_requests_per_engine = 8;
 
-/// Prompts with fewer tokens to read never wait for others.
+/// Prompts with fewer uncached tokens are sent regardless of the limit.
 constexpr int short_prompt_tokens = 2000;
 
-/// Part of the engines in decode role that receive the KV caches of prompts
-/// that were read elsewhere. They read no prompts while others can, because a
-/// request that was handed over waits behind the prompts that are read there.
-constexpr double receiving_share = 0.25;
+/// Fraction of the engines in decode role that receive KV caches computed by
+/// other engines. They prefill prompts only as a last resort, because requests
+/// handed over to them wait for the prefills in progress.
+constexpr double receiver_share = 0.25;
 
-/// Cost of handing a KV cache to an engine that reads prompts.
-constexpr duration off_receiver_cost = milliseconds(60);
+/// Cost of handing a KV cache to a decode engine outside that fraction.
+constexpr duration non_receiver_cost = milliseconds(60);
 
-/// Cost of reading a prompt on a receiving engine, as a part of the time that
-/// the engine reads.
-constexpr double receiver_reading_cost = 1.3;
+/// Cost of prefilling a prompt on a receiving engine, as a factor of the
+/// prefill time, in addition to the prefill time itself.
+constexpr double receiver_prefill_cost_factor = 1.3;
 
-/// Engines that are assumed to hold a shared part where caches are not
-/// followed: the first ones in its ranking. Two share the load of a popular
+/// Number of top-ranked engines that are assumed to cache a shared part when
+/// engine caches are not tracked. Two engines spread the load of a popular
 /// part; the engines of the known deployments have room for three copies of
 /// each part.
-constexpr int homes_per_part = 2;
+constexpr int cached_copies_per_part = 2;
 
-/// Engines that are compared for one prompt in a fleet where shared parts have
-/// homes: those that rank first for its parts. Enough for the copies of the
-/// most popular part at 320 engines; the cost of a choice does not grow with
-/// them.
-constexpr int most_ranked = 16;
+/// Number of top-ranked engines compared for one prompt when engine caches are
+/// not tracked. It covers the copies of the most popular part at 320 engines
+/// and keeps the cost of a choice independent of the number of engines.
+constexpr int max_ranked_candidates = 16;
 
-/// An engine in decode role reads at half the speed of one in prefill role and
-/// ranks first for half as many parts.
+/// Rendezvous weight of an engine in prefill role relative to one in decode
+/// role, which prefills at half the speed.
 constexpr double prefill_rank_weight = 2;
 
-/// @return true for an engine in decode role that takes new work
+/// @return true for an engine in decode role that accepts new work
 bool decodes(instance_state const *instance)
 {
     auto const &definition = instance->definition;
@@ -83,17 +82,17 @@
     instance_state const *instance = nullptr;
     first_event_prediction prediction;
     duration cost{};
-    /// Place in the ranking for the prompt's shared parts.
+    /// Place in the ranking for the prompt's shared parts, from 0.
     int order = 0;
-    /// The same, as far as it counts as a cost.
+    /// `order` limited to `max_rank`, for the cost.
     int rank = 0;
-    /// The engine receives the KV caches of prompts that were read elsewhere.
+    /// The engine receives KV caches computed by other engines.
     bool receives = false;
 };
 
-/// @return number of engines that receive the KV caches of prompts that were
-///         read elsewhere: the first ones in decode role, which are the same at
-///         all daemons; none without engines in prefill role
+/// @return number of engines that receive KV caches computed by other engines:
+///         the first ones in decode role, so that all daemons agree on them; 0
+///         without engines in prefill role
 int count_receivers(std::vector<instance_state const *> const &instances)
 {
     bool const any_prefill = std::ranges::any_of(
@@ -105,7 +104,7 @@
     }
     auto const decoding = std::ranges::count_if(instances, decodes);
     return static_cast<int>(
-        std::ceil(receiving_share * static_cast<double>(decoding)));
+        std::ceil(receiver_share * static_cast<double>(decoding)));
 }
 
 double rank_score(std::uint64_t key, instance_state const &instance)
@@ -119,40 +118,41 @@
     return -std::log(uniform) / weight;
 }
 
-bool may_take(world const &w, relay_state_entry const &request,
-              instance_state const &instance)
+bool is_eligible(world const &w, relay_state_entry const &request,
+                 instance_state const &instance)
 {
     auto const &definition = instance.definition;
     bool const decoding = request.kept || request.prefill_failed ||
                           !request.last_event.empty() ||
                           request.content->prompt == std::nullopt;
     bool const role_fits = definition.role != engine_role::prefill || !decoding;
-    return definition.accepts_work && !instance.address_taken && role_fits &&
-           !(w.now < instance.health.avoided_until);
+    return definition.accepts_work && !instance.address_reused && role_fits &&
+           !(w.now < instance.health.ejected_until);
 }
 
-/// Instances that may take the request. Those that it was sent to, and those
-/// that are avoided, are used only when there are no others.
+/// Eligible instances. Instances that the request was already sent to are
+/// returned only when there are no others; ejected ones are never eligible.
 std::vector<candidate> candidates_of(world const &w,
                                      relay_state_entry const &request)
 {
     auto const &instances = w.relay.instances.of_service(request.service);
     auto receivers_left = count_receivers(instances);
-    std::vector<candidate> fresh;
-    std::vector<candidate> rest;
+    std::vector<candidate> untried;
+    std::vector<candidate> retried;
     for (auto const *instance : instances)
     {
         bool const receives = decodes(instance) && receivers_left-- > 0;
-        if (!may_take(w, request, *instance))
+        if (!is_eligible(w, request, *instance))
         {
             continue;
         }
         auto const &tried = request.tried;
-        bool const again =
+        bool const already_tried =
             std::ranges::find(tried, instance->definition.id) != tried.end();
-        (again ? rest : fresh).push_back({instance, {}, {}, 0, 0, receives});
+        (already_tried ? retried : untried)
+            .push_back({instance, {}, {}, 0, 0, receives});
     }
-    return fresh.empty() ? rest : fresh;
+    return untried.empty() ? retried : untried;
 }
 
 void rank_candidates(relay_state_entry const &request,
@@ -173,14 +173,14 @@
     for (auto const &[score, item] : scores)
     {
         item->order = item->receives ? static_cast<int>(scores.size()) : order;
-        item->rank = std::min(item->order, last_rank);
+        item->rank = std::min(item->order, max_rank);
         order += item->receives ? 0 : 1;
     }
 }
 
-/// @return data centre whose engines go on with the prompt: that of the engine
-///         that has read it, because a transfer between data centres takes
-///         twice as long, or else the daemon's own
+/// @return data centre in which the prompt is decoded: that of the engine that
+///         prefilled it, because a transfer between data centres takes twice
+///         as long; the daemon's own before the prefill
 std::string const &handover_data_centre(world const &w,
                                         relay_state_entry const &request)
 {
@@ -190,47 +190,50 @@
                              : reader->definition.data_centre;
 }
 
-bool is_in(std::string const &data_centre, candidate const &item)
+bool is_in_data_centre(std::string const &data_centre, candidate const &item)
 {
     return item.instance->definition.data_centre == data_centre;
 }
 
-/// Leaves the engines that a prompt is compared for: the first ones in its
-/// ranking unless it has been read, and those near by that go on with prompts.
-/// Answers the load of hundreds of engines, where each choice would otherwise
-/// look at all of them.
-void keep_few(world const &w, relay_state_entry const &request,
-              std::vector<candidate> &candidates)
+/// Limits the candidates to the top-ranked engines, unless the prompt has been
+/// prefilled, and to the receiving engines of the hand-over data centre.
+/// Without this limit the cost of each choice grows with the number of engines,
+/// which matters at hundreds of them.
+void limit_candidates(world const &w, relay_state_entry const &request,
+                      std::vector<candidate> &candidates)
 {
     if (follows_caches(w) || request.chain.empty() ||
-        candidates.size() <= static_cast<std::size_t>(most_ranked))
+        candidates.size() <= static_cast<std::size_t>(max_ranked_candidates))
     {
         return;
     }
     auto const &near = handover_data_centre(w, request);
-    bool const any_near =
-        std::ranges::any_of(candidates, [&near](candidate const &item)
-                            { return item.receives && is_in(near, item); });
+    bool const any_near = std::ranges::any_of(
+        candidates, [&near](candidate const &item)
+        { return item.receives && is_in_data_centre(near, item); });
     std::erase_if(candidates,
                   [&](candidate const &item)
                   {
                       bool const first = (!request.kept || !any_near) &&
-                                         item.order < most_ranked;
+                                         item.order < max_ranked_candidates;
                       bool const receives =
-                          item.receives && (!any_near || is_in(near, item));
+                          item.receives &&
+                          (!any_near || is_in_data_centre(near, item));
                       return !first && !receives;
                   });
 }
 
-/// @return time until an engine goes on with a prompt that was read elsewhere
+/// @return predicted time until an engine continues a prompt that another one
+///         has prefilled, with the penalty for engines that do not receive
 duration handover_cost(candidate const &item)
 {
     return item.prediction.wait + handover_time +
-           (item.receives ? duration(0) : off_receiver_cost);
+           (item.receives ? duration(0) : non_receiver_cost);
 }
 
-/// @return least time until any engine does; the longest one when there is none
-duration least_handover_cost(std::vector<candidate> const &candidates)
+/// @return minimum hand-over cost over the engines that decode;
+///         `duration::max()` when there is none
+duration min_handover_cost(std::vector<candidate> const &candidates)
 {
     duration least = duration::max();
     for (auto const &item : candidates)
@@ -247,14 +250,15 @@
 struct prefix_source
 {
     instance_state const *instance = nullptr;
-    /// Leading tokens that it is known to have read.
+    /// Leading tokens of the prompt that are known to be in its cache.
     int tokens = 0;
     instant used_at{};
 };
 
-/// @return the engine that has read most of the shared parts, of several the
-///         one that used them last, as an engine's cache drops first what it
-///         used least recently; none when no engine is known to have read any
+/// @return the engine with the most leading shared tokens in its cache; of
+///         several, the one that used them last, because engine caches evict
+///         the least recently used parts first; none when no engine is known to
+///         cache any
 prefix_source find_prefix_source(relay_state_entry const &request,
                                  std::vector<candidate> const &candidates,
                                  instance_state const *except)
@@ -277,10 +281,10 @@
     return best;
 }
 
-/// @return the first home of the shared parts, which is assumed to hold them;
-///         none when the request has none
-prefix_source home_of(relay_state_entry const &request,
-                      std::vector<candidate> const &candidates)
+/// @return the top-ranked engine for the shared parts, which is assumed to
+///         cache them; none when the request has no shared parts
+prefix_source assumed_prefix_source(relay_state_entry const &request,
+                                    std::vector<candidate> const &candidates)
 {
     if (request.chain.empty())
     {
@@ -293,18 +297,19 @@
                                instant{}};
 }
 
-/// Counts the shared parts of a prompt as held where they have their homes.
-void assume_home(world const &w, relay_state_entry const &request,
-                 candidate &item)
+/// Counts the shared parts as cached on their top-ranked engines when engine
+/// caches are not tracked.
+void assume_cached_parts(world const &w, relay_state_entry const &request,
+                         candidate &item)
 {
     if (follows_caches(w) || request.chain.empty() ||
-        item.rank >= homes_per_part)
+        item.rank >= cached_copies_per_part)
     {
         return;
     }
     auto &prediction = item.prediction;
     prediction.time -=
-        copying_time(w, request.service, prediction.copied_tokens);
+        prefix_copy_time(w, request.service, prediction.copied_tokens);
     prediction.cached_tokens += prediction.copied_tokens;
     prediction.copied_tokens = 0;
 }
@@ -314,7 +319,7 @@
 {
     item.prediction =
         predict_first_event(w, request, *item.instance, source.tokens);
-    assume_home(w, request, item);
+    assume_cached_parts(w, request, item);
     auto &prediction = item.prediction;
     if (request.kept)
     {
@@ -326,9 +331,9 @@
                 rank_cost * item.rank;
     if (item.receives && !request.kept && request.content->prompt)
     {
-        item.cost +=
-            from_seconds(receiver_reading_cost * prediction.unread_tokens /
-                         prefill_tokens_per_ms(w, *item.instance) / 1e3);
+        item.cost += from_seconds(
+            receiver_prefill_cost_factor * prediction.unread_tokens /
+            prefill_tokens_per_ms(w, *item.instance) / 1e3);
     }
     if (!request.kept && request.content->prompt)
     {
@@ -338,12 +343,13 @@
     {
         item.cost += remote_cost;
     }
-    // Daemons that see the same state must not all choose the same instance.
+    // Random jitter: daemons that see the same state must not all choose the
+    // same instance.
     item.cost += from_seconds(to_seconds(rank_cost) * w.random.uniform());
 }
 
-/// @return true when the engine has as many requests as it should; short
-///         prompts are sent all the same
+/// @return true when the engine is at its concurrency limit; always false for
+///         short prompts
 bool is_full(world const &w, instance_state const &instance,
              first_event_prediction const &prediction)
 {
@@ -351,22 +357,24 @@
     {
         return false;
     }
-    auto const own = static_cast<double>(instance.open_calls.size());
+    auto const local = static_cast<double>(instance.open_calls.size());
     if (!w.relay.load.heard.empty())
     {
-        return own + static_cast<double>(instance.others_open_calls) >=
-               requests_at_once;
+        return local + static_cast<double>(instance.others_open_calls) >=
+               max_requests_per_engine;
     }
-    return own >= std::ceil(requests_at_once / w.relay.sharing_daemons());
+    return local >=
+           std::ceil(max_requests_per_engine / w.relay.sharing_daemons());
 }
 
-/// @return address of the engine that the chosen one copies shared parts from
-///         which it does not hold: the last user that is known, or else the
-///         first in rank, where other daemons may have sent them; empty for
-///         none
-std::string copy_address(relay_state_entry const &request,
-                         std::vector<candidate> const &candidates,
-                         instance_state const &chosen)
+/// @return address of the engine from which the chosen one copies the shared
+///         parts that it does not cache: the engine found by
+///         `find_prefix_source`, or else the top-ranked one, to which other
+///         daemons may have sent them; empty for none
+std::string
+choose_prefix_source_address(relay_state_entry const &request,
+                             std::vector<candidate> const &candidates,
+                             instance_state const &chosen)
 {
     if (request.chain.empty())
     {
@@ -390,13 +398,13 @@
 {
     auto candidates = candidates_of(w, request);
     rank_candidates(request, candidates);
-    keep_few(w, request, candidates);
+    limit_candidates(w, request, candidates);
     auto const source = follows_caches(w)
                             ? find_prefix_source(request, candidates, nullptr)
-                            : home_of(request, candidates);
+                            : assumed_prefix_source(request, candidates);
     std::ranges::for_each(candidates, [&](candidate &item)
                           { set_cost(w, request, source, item); });
-    auto const handover = least_handover_cost(candidates);
+    auto const handover = min_handover_cost(candidates);
     for (auto &item : candidates)
     {
         if (item.instance->definition.role == engine_role::prefill)
@@ -424,7 +432,7 @@
     if (!request.kept)
     {
         out.prefix_source_address =
-            copy_address(request, candidates, *best.instance);
+            choose_prefix_source_address(request, candidates, *best.instance);
     }
     out.candidates = static_cast<int>(candidates.size());
     out.runner_up = candidates.size() > 1 ? candidates[1].cost : duration(0);
--- a/src/choose_instance.hpp
+++ b/src/choose_instance.hpp
@@ -13,37 +13,38 @@
 struct relay_state_entry;
 struct world;
 
-/// Instance that a request is sent to.
+/// Instance chosen for a request.
 struct instance_choice
 {
     std::string instance;
     relay_stage stage = relay_stage::run;
-    /// Address of the engine to copy cached prompt parts from; empty for none.
+    /// Address of the engine to copy cached prompt parts from; empty when
+    /// nothing is copied.
     std::string prefix_source_address;
     first_event_prediction prediction;
-    /// The instance has as much work as it should; the request waits.
+    /// The instance is at its concurrency limit; the request must wait.
     bool full = false;
-    /// Instances that were compared.
+    /// Number of instances whose costs were compared.
     int candidates = 0;
     /// Cost of the next best candidate, for the log.
     duration runner_up{};
 };
 
-/// Chooses the instance with the earliest predicted first event. Answers the
-/// load of the heaviest days, bursts of long prompts with shared parts: an
-/// engine that holds them is preferred, and another one copies them from it
-/// when that is predicted to be earlier than waiting. Parts that no engine is
-/// known to hold go by weighted rendezvous hashing, so that daemons agree on
-/// the engine that reads them without messages.
+/// Chooses the instance with the earliest predicted first event. The heaviest
+/// load is bursts of long prompts with shared parts: an engine that has them in
+/// its prefix cache is preferred, and another engine copies them from it when
+/// that is predicted to be faster than waiting. Parts that no engine is known
+/// to cache are assigned by weighted rendezvous hashing, so that all daemons
+/// choose the same engine for them without exchanging messages.
 ///
-/// Engines in prefill role are used when the KV cache that they fill can be
-/// handed to an engine in decode role earlier than the latter would read the
-/// prompt.
+/// Engines in prefill role are used when the KV cache that they compute can be
+/// transferred to an engine in decode role before that engine would have
+/// computed it itself.
 ///
-/// @param w the daemon
-/// @param request waiting request; a request with a kept prefill goes to an
-///        engine in decode role
-/// @return the choice, or nothing when no instance may take the request
+/// @param w state of the daemon
+/// @param request waiting request; if an engine already holds its prefilled KV
+///        cache, it goes to an engine in decode role
+/// @return the choice, or nothing when no instance is eligible
 std::optional<instance_choice>
 choose_instance(world &w, relay_state_entry const &request);
 
--- a/src/event_text.cpp
+++ b/src/event_text.cpp
@@ -13,17 +13,18 @@
 
 constexpr std::string_view id_field = "id:";
 
-/// @return length of the first event with the empty line that ends it, or npos
+/// @return length of the first event, including the empty line that ends it, or
+///         npos when it is incomplete
 std::size_t event_length(std::string_view text)
 {
-    auto const plain = text.find("\n\n");
-    auto const returned = text.find("\r\n\r\n");
-    if (returned != std::string_view::npos &&
-        (plain == std::string_view::npos || returned < plain))
+    auto const lf_end = text.find("\n\n");
+    auto const crlf_end = text.find("\r\n\r\n");
+    if (crlf_end != std::string_view::npos &&
+        (lf_end == std::string_view::npos || crlf_end < lf_end))
     {
-        return returned + 4;
+        return crlf_end + 4;
     }
-    return plain == std::string_view::npos ? plain : plain + 2;
+    return lf_end == std::string_view::npos ? lf_end : lf_end + 2;
 }
 
 /// @return value of the event's last `id` field, or an empty text
@@ -53,7 +54,7 @@
     return id;
 }
 
-std::optional<std::uint64_t> number_of(std::string_view text)
+std::optional<std::uint64_t> parse_number(std::string_view text)
 {
     std::uint64_t value = 0;
     auto const [stop, error] =
@@ -65,10 +66,10 @@
     return value;
 }
 
-bool is_repeated(std::string_view id, std::string_view last_id)
+bool is_duplicate(std::string_view id, std::string_view last_id)
 {
-    auto const number = number_of(id);
-    auto const last = number_of(last_id);
+    auto const number = parse_number(id);
+    auto const last = parse_number(last_id);
     return number && last && *number <= *last;
 }
 
@@ -83,7 +84,7 @@
     {
         auto const event = rest.substr(0, length);
         auto const id = id_of(event);
-        if (!is_repeated(id, last_id))
+        if (!is_duplicate(id, last_id))
         {
             out += event;
             if (!id.empty())
--- a/src/event_text.hpp
+++ b/src/event_text.hpp
@@ -6,13 +6,13 @@
 namespace agateledge
 {
 
-/// Takes the whole server-sent events from the begin of a buffer, unchanged,
-/// and leaves the rest. Events whose numeric id is not after the last one are
-/// dropped, so that a resumed stream repeats none.
+/// Removes the complete server-sent events from the front of a buffer. Events
+/// whose numeric id is not greater than the last one are dropped, so that a
+/// resumed stream does not repeat events.
 ///
-/// @param buffer text that was received and not yet taken
-/// @param last_id id of the last event that was taken; updated
-/// @return text of the new events
+/// @param buffer received bytes; an incomplete event stays in it
+/// @param last_id id of the last event that was returned; updated
+/// @return unchanged text of the new events
 std::string take_new_events(std::string &buffer, std::string &last_id);
 
 } // namespace agateledge
--- a/src/expire_relays.cpp
+++ b/src/expire_relays.cpp
@@ -20,11 +20,11 @@
     if (request->attempt)
     {
         auto const *call = w.relay.requests.find(*request->attempt);
-        bool const silent = call != nullptr && !call->answered;
+        bool const unanswered = call != nullptr && !call->answered;
         cancel_attempt(w, *request->attempt,
-                       silent ? call_result::failed : call_result::neutral);
+                       unanswered ? call_result::failed : call_result::neutral);
     }
-    fail_relay(w, number, "the time of the request is up");
+    fail_relay(w, number, "the deadline of the request has passed");
 }
 
 } // namespace
--- a/src/expire_relays.hpp
+++ b/src/expire_relays.hpp
@@ -6,10 +6,10 @@
 
 struct world;
 
-/// Ends the requests whose time is up: their caller's patience or the timeout
-/// of their route has passed.
+/// Ends the requests whose deadline has passed: the time limit given by the
+/// caller or the timeout of the route, whichever is earlier.
 ///
-/// @param w the daemon
+/// @param w state of the daemon
 void expire_relays(world &w);
 
 } // namespace agateledge
--- a/src/fade.hpp
+++ b/src/fade.hpp
@@ -8,11 +8,14 @@
 namespace agateledge
 {
 
-/// @param value value when it was observed
-/// @param age time since then
-/// @param half_life_s time in which it halves, in seconds
-/// @return what is left of a smoothed value that was not observed again
-inline duration fade(duration value, duration age, double half_life_s)
+/// Decays a smoothed value that has not been measured again.
+///
+/// @param value value at the last measurement
+/// @param age time since the last measurement
+/// @param half_life_s half-life in seconds
+/// @return the decayed value
+inline duration exponential_decay(duration value, duration age,
+                                  double half_life_s)
 {
     return from_seconds(to_seconds(value) *
                         std::exp2(-to_seconds(age) / half_life_s));
--- a/src/instance_table.cpp
+++ b/src/instance_table.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Time in which the weight of an instance's past results halves.
+/// Half-life of the weight of an instance's past results.
 constexpr double health_half_life_s = 4;
 
 std::string const &id_of(instance_state const *instance)
@@ -23,9 +23,9 @@
 
 call_results instance_health::results_at(instant now) const
 {
-    auto const kept =
+    auto const decay =
         std::exp2(-to_seconds(now - counted_at) / health_half_life_s);
-    return {results.succeeded * kept, results.failed * kept};
+    return {results.succeeded * decay, results.failed * decay};
 }
 
 instance_state *instance_table::find(std::string const &id)
@@ -43,23 +43,23 @@
 instance_state &instance_table::put(instance_definition const &definition,
                                     std::uint64_t row_version)
 {
-    auto const known = find(definition.id);
+    auto const existing = find(definition.id);
     bool const restarted =
-        known != nullptr &&
-        (known->definition.started_at_ms != definition.started_at_ms ||
-         known->definition.address != definition.address);
-    bool const moved =
-        known != nullptr && known->definition.service != definition.service;
+        existing != nullptr &&
+        (existing->definition.started_at_ms != definition.started_at_ms ||
+         existing->definition.address != definition.address);
+    bool const moved = existing != nullptr &&
+                       existing->definition.service != definition.service;
     if (restarted || moved)
     {
         erase(definition.id);
     }
-    auto const [place, added] = states_.try_emplace(definition.id);
-    auto &state = place->second;
+    auto const [entry, added] = states_.try_emplace(definition.id);
+    auto &state = entry->second;
     state.definition = definition;
     state.row_version = row_version;
     state.lapses_at.reset();
-    state.address_taken = false;
+    state.address_reused = false;
     if (added)
     {
         state.load_key = load_key_of(definition);
@@ -77,11 +77,11 @@
     {
         return;
     }
-    leave_service(found->second);
+    remove_from_service(found->second);
     states_.erase(found);
 }
 
-void instance_table::leave_service(instance_state const &state)
+void instance_table::remove_from_service(instance_state const &state)
 {
     auto const found = by_service_.find(state.definition.service);
     std::erase(found->second, &state);
@@ -94,9 +94,9 @@
 std::vector<instance_state const *> const &
 instance_table::of_service(std::string const &name) const
 {
-    static std::vector<instance_state const *> const none;
+    static std::vector<instance_state const *> const no_instances;
     auto const found = by_service_.find(name);
-    return found == by_service_.end() ? none : found->second;
+    return found == by_service_.end() ? no_instances : found->second;
 }
 
 } // namespace agateledge
--- a/src/instance_table.hpp
+++ b/src/instance_table.hpp
@@ -17,13 +17,13 @@
 namespace agateledge
 {
 
-/// Ends of calls, weighted by age.
+/// Numbers of succeeded and failed calls, weighted by age.
 struct call_results
 {
     double succeeded = 0;
     double failed = 0;
 
-    /// @return part of the calls that failed; 0 without calls
+    /// @return fraction of the calls that failed; 0 without calls
     double failed_share() const
     {
         auto const total = failed + succeeded;
@@ -33,22 +33,22 @@
     auto operator<=>(call_results const &) const = default;
 };
 
-/// How the calls of an instance ended lately.
+/// Recent call results of an instance.
 struct instance_health
 {
     /// Results as of `counted_at`.
     call_results results;
     instant counted_at{};
-    /// No work is given before this time.
-    instant avoided_until{};
-    /// Length of the next pause; grows while the instance keeps failing.
-    duration next_pause{};
+    /// The instance is ejected, that is, gets no requests, before this time.
+    instant ejected_until{};
+    /// Duration of the last ejection; doubles while the instance keeps failing.
+    duration ejection_time{};
 
-    /// @return the results with their weight at `now`
+    /// @return the results, weighted by their age at `now`
     call_results results_at(instant now) const;
 };
 
-/// How far the changes of an engine's prefix cache have been read.
+/// Progress of reading the changes of an engine's prefix cache.
 struct cache_feed_state
 {
     bool in_flight = false;
@@ -56,36 +56,36 @@
     bool failing = false;
     instant next_read{};
     std::string epoch;
-    /// Change up to which the cache is known.
+    /// Number of the last change that was read.
     std::uint64_t last_change = 0;
 };
 
-/// An engine or endpoint of the directory, with what this daemon has seen of
+/// An engine or endpoint of the directory, with this daemon's observations of
 /// it.
 struct instance_state
 {
     instance_definition definition;
     std::uint64_t row_version = 0;
-    /// Set when the row went missing around an outage of the store: the
-    /// instance is used until this time unless its row comes back.
+    /// Set when the row disappeared around an outage of the store: the instance
+    /// stays in use until this time unless the row is listed again.
     std::optional<instant> lapses_at;
-    /// Set when the address answered for another instance; until the row
-    /// changes again.
-    bool address_taken = false;
+    /// Set when another instance replied from this address; reset when the row
+    /// changes.
+    bool address_reused = false;
     instance_health health;
     /// Calls of this daemon that are open.
     std::unordered_set<attempt_number> open_calls;
-    /// Prompt tokens of open calls that the engine has yet to read.
+    /// Prompt tokens of this daemon's open calls still to be prefilled.
     std::int64_t unread_tokens = 0;
     /// The engine's key in load reports; see `load_key_of`.
     std::uint64_t load_key = 0;
-    /// The same of other daemons' calls, as they last reported.
+    /// Unread tokens and open calls of other daemons, from their last reports.
     std::int64_t others_unread_tokens = 0;
     std::size_t others_open_calls = 0;
-    /// Time by which replies came later than predicted, smoothed.
+    /// Smoothed time by which replies exceeded their predictions.
     duration delay{};
     instant delay_seen_at{};
-    /// Pauses between the events of its streams, smoothed.
+    /// Smoothed pause between the events of its streams.
     duration pause{};
     instant pause_seen_at{};
     prompt_cache_view cache;
@@ -100,8 +100,8 @@
     instance_state *find(std::string const &id);
     instance_state const *find(std::string const &id) const;
 
-    /// Adds or changes an entry. A new incarnation of the instance starts with
-    /// nothing known of it.
+    /// Adds or updates an entry. The observations of an instance that restarted
+    /// or changed its service are discarded.
     ///
     /// @return the entry
     instance_state &put(instance_definition const &definition,
@@ -118,7 +118,7 @@
     std::map<std::string, instance_state> &all() { return states_; }
 
 private:
-    void leave_service(instance_state const &state);
+    void remove_from_service(instance_state const &state);
 
     std::map<std::string, instance_state> states_;
     std::map<std::string, std::vector<instance_state const *>> by_service_;
--- a/src/judge_instances.cpp
+++ b/src/judge_instances.cpp
@@ -13,15 +13,16 @@
 namespace
 {
 
-constexpr duration judgement_interval = milliseconds(100);
+constexpr duration check_period = milliseconds(100);
 
-/// Failures, weighted by age, below which an instance is not judged.
-constexpr double least_failures = 1.5;
+/// Failures, weighted by age, below which an instance is not ejected.
+constexpr double min_failures = 1.5;
 
-/// Share of failures by which an instance exceeds the rest of its service.
-constexpr double excess_share = 0.25;
+/// Difference to the failure rate of the rest of the service above which an
+/// instance is ejected.
+constexpr double failure_rate_margin = 0.25;
 
-/// Pauses of an instance; the first is doubled with each further one.
+/// Duration of the first ejection and the upper limit; it doubles each time.
 constexpr duration first_pause = seconds(1);
 constexpr duration longest_pause = seconds(4);
 
@@ -29,7 +30,7 @@
 {
     call_results results;
     int instances = 0;
-    int avoided = 0;
+    int ejected = 0;
 };
 
 std::map<std::string, service_health> sum_by_service(world const &w)
@@ -42,35 +43,38 @@
         sum.results.succeeded += results.succeeded;
         sum.results.failed += results.failed;
         ++sum.instances;
-        sum.avoided += instance.health.avoided_until > w.now ? 1 : 0;
+        sum.ejected += instance.health.ejected_until > w.now ? 1 : 0;
     }
     return out;
 }
 
-void judge(world &w, instance_state &instance, service_health &sum)
+void eject_if_failing(world &w, instance_state &instance, service_health &sum)
 {
     auto &health = instance.health;
-    auto const own = health.results_at(w.now);
-    call_results const others{sum.results.succeeded - own.succeeded,
-                              sum.results.failed - own.failed};
-    bool const bad = own.failed >= least_failures &&
-                     own.failed_share() > others.failed_share() + excess_share;
-    bool const most_left = (sum.avoided + 1) * 2 <= sum.instances;
-    if (!bad || health.avoided_until > w.now || !most_left)
+    auto const instance_results = health.results_at(w.now);
+    call_results const others{sum.results.succeeded -
+                                  instance_results.succeeded,
+                              sum.results.failed - instance_results.failed};
+    bool const is_failing = instance_results.failed >= min_failures &&
+                            instance_results.failed_share() >
+                                others.failed_share() + failure_rate_margin;
+    bool const limit_kept = (sum.ejected + 1) * 2 <= sum.instances;
+    if (!is_failing || health.ejected_until > w.now || !limit_kept)
     {
         return;
     }
-    health.next_pause = std::clamp(health.next_pause * 2, duration(first_pause),
-                                   duration(longest_pause));
-    health.avoided_until = w.now + health.next_pause;
-    ++sum.avoided;
+    health.ejection_time =
+        std::clamp(health.ejection_time * 2, duration(first_pause),
+                   duration(longest_pause));
+    health.ejected_until = w.now + health.ejection_time;
+    ++sum.ejected;
     log_relay(w, log_level::warning, "instance_avoided",
               {{"instance", instance.definition.id},
                {"service", instance.definition.service},
-               {"failed", std::to_string(own.failed)},
-               {"succeeded", std::to_string(own.succeeded)},
-               {"pause_ms", milliseconds_text(health.next_pause)}});
-    // Judged anew, by what its next calls show.
+               {"failed", std::to_string(instance_results.failed)},
+               {"succeeded", std::to_string(instance_results.succeeded)},
+               {"pause_ms", milliseconds_text(health.ejection_time)}});
+    // Only calls after the ejection count for the next one.
     health.results = {};
 }
 
@@ -79,16 +83,16 @@
 void judge_instances(world &w)
 {
     auto &relay = w.relay;
-    bool const changed = !w.in.relay_events.empty();
-    if (!changed || relay.next_judgement > w.now)
+    bool const any_event = !w.in.relay_events.empty();
+    if (!any_event || relay.next_health_check > w.now)
     {
         return;
     }
-    relay.next_judgement = w.now + judgement_interval;
+    relay.next_health_check = w.now + check_period;
     auto sums = sum_by_service(w);
     for (auto &[id, instance] : relay.instances.all())
     {
-        judge(w, instance, sums[instance.definition.service]);
+        eject_if_failing(w, instance, sums[instance.definition.service]);
     }
 }
 
--- a/src/judge_instances.hpp
+++ b/src/judge_instances.hpp
@@ -6,11 +6,11 @@
 
 struct world;
 
-/// Takes instances out of use for a while whose calls fail more often than
-/// those of the other instances of their service. At most half of a service is
-/// out of use at the same time.
+/// Ejects for some seconds the instances whose calls fail more often than those
+/// of the other instances of their service. At most half of the instances of a
+/// service are ejected at the same time.
 ///
-/// @param w the daemon
+/// @param w state of the daemon
 void judge_instances(world &w);
 
 } // namespace agateledge
--- a/src/log_relay.cpp
+++ b/src/log_relay.cpp
@@ -14,11 +14,12 @@
 namespace
 {
 
-/// Notes that are kept of one request: three calls with all their decisions.
-constexpr std::size_t most_notes = 16;
+/// Maximum number of buffered log entries of one request, enough for three
+/// calls; further entries are dropped.
+constexpr std::size_t max_trail_entries = 16;
 
-log_fields with_request(world const &w, relay_state_entry const &request,
-                        log_fields fields)
+log_fields with_request_fields(world const &w, relay_state_entry const &request,
+                               log_fields fields)
 {
     log_fields all{
         {"request", request.content->caller_attempt},
@@ -44,26 +45,27 @@
     w.out.log_entries.push_back({level, std::move(event), std::move(fields)});
 }
 
-void note_request(world &w, relay_state_entry &request, std::string event,
-                  log_fields fields)
+void buffer_request_log(world &w, relay_state_entry &request, std::string event,
+                        log_fields fields)
 {
-    if (request.trail.size() < most_notes)
+    if (request.trail.size() < max_trail_entries)
     {
-        request.trail.push_back({log_level::info, std::move(event),
-                                 with_request(w, request, std::move(fields))});
+        request.trail.push_back(
+            {log_level::info, std::move(event),
+             with_request_fields(w, request, std::move(fields))});
     }
 }
 
 void log_request_end(world &w, log_level level, relay_state_entry &request,
-                     std::string event, log_fields fields, bool with_notes)
+                     std::string event, log_fields fields, bool with_trail)
 {
-    if (with_notes)
+    if (with_trail)
     {
         std::ranges::move(std::exchange(request.trail, {}),
                           std::back_inserter(w.out.log_entries));
     }
     log_relay(w, level, std::move(event),
-              with_request(w, request, std::move(fields)));
+              with_request_fields(w, request, std::move(fields)));
 }
 
 } // namespace agateledge
--- a/src/log_relay.hpp
+++ b/src/log_relay.hpp
@@ -15,20 +15,23 @@
 
 using log_fields = std::vector<std::pair<std::string, std::string>>;
 
-/// Logs a decision that changes what the daemon believes.
+/// Writes a log entry on a change of the daemon's state.
 ///
 /// @param event stable name of the event; docs/OPERATIONS.md lists them
 void log_relay(world &w, log_level level, std::string event, log_fields fields);
 
-/// Notes a decision on one request, with its id, route and age. The notes of a
-/// request are written together by `log_request_end`.
-void note_request(world &w, relay_state_entry &request, std::string event,
-                  log_fields fields);
+/// Buffers a log entry on one request, with its id, route and age. The entries
+/// of a request are written together by `log_request_end`.
+void buffer_request_log(world &w, relay_state_entry &request, std::string event,
+                        log_fields fields);
 
-/// Logs the end of a request, after its notes when it failed or was late, so
-/// that the lines of one request are kept or dropped together.
+/// Logs the end of a request. Its buffered entries are written first or not at
+/// all, so that the log has either all lines of a request or only the last.
+///
+/// @param with_trail write the buffered entries, for a request that failed or
+///        was late
 void log_request_end(world &w, log_level level, relay_state_entry &request,
-                     std::string event, log_fields fields, bool with_notes);
+                     std::string event, log_fields fields, bool with_trail);
 
 /// @return `value` in milliseconds with one decimal, for a log field
 std::string milliseconds_text(duration value);
--- a/src/place_relays.cpp
+++ b/src/place_relays.cpp
@@ -18,26 +18,26 @@
 namespace
 {
 
-/// Longest wait for a connection: a lost first packet is sent again after 1 s,
-/// and another instance is asked before that.
-constexpr duration longest_connect = milliseconds(400);
+/// Maximum time to connect. A lost SYN packet is retransmitted after 1 s; the
+/// request goes to another instance before that.
+constexpr duration max_connect_time = milliseconds(400);
 
-/// Ranks that engines know, 0 for the most urgent.
-constexpr int least_urgent_rank = 9;
+/// Least urgent priority that engines accept; 0 is the most urgent.
+constexpr int least_urgent_priority = 9;
 
-/// Time after which a waiting request is compared again. Each tick has input,
-/// hundreds a second, and a comparison costs as much as the tick itself.
-constexpr duration comparison_pause = milliseconds(5);
+/// Time after which instances are compared again for a waiting request. There
+/// are hundreds of ticks a second, and one comparison costs as much as a tick.
+constexpr duration comparison_interval = milliseconds(5);
 
-/// Callers are told to return after a part of the wait that made the request
-/// impossible.
-constexpr duration shortest_retry_after = milliseconds(500);
+/// Lower limit of the retry-after time for a request whose deadline cannot be
+/// met; the time itself is derived from the excess of the predicted wait.
+constexpr duration min_retry_after = milliseconds(500);
 
 relay_call make_call(world const &w, relay_state_entry const &request,
                      instance_state const &instance,
                      instance_choice const &choice, attempt_number attempt)
 {
-    auto const left = request.expires_at - w.now;
+    auto const remaining = request.expires_at - w.now;
     relay_call call;
     call.attempt = attempt;
     call.request = request.number;
@@ -45,14 +45,14 @@
     call.instance = choice.instance;
     call.address = instance.definition.address;
     call.stage = choice.stage;
-    call.time_left = left;
+    call.time_left = remaining;
     call.prefix_source_address = choice.prefix_source_address;
     call.resume_after = request.last_event;
-    call.connect_timeout = std::min(left, longest_connect);
+    call.connect_timeout = std::min(remaining, max_connect_time);
     if (request.content->prompt)
     {
         call.priority =
-            std::clamp(request.route->priority, 0, least_urgent_rank);
+            std::clamp(request.route->priority, 0, least_urgent_priority);
     }
     if (request.kept)
     {
@@ -62,12 +62,12 @@
     return call;
 }
 
-void note_placement(world &w, relay_state_entry &request,
-                    instance_state const &instance,
-                    instance_choice const &choice)
+void record_placement(world &w, relay_state_entry &request,
+                      instance_state const &instance,
+                      instance_choice const &choice)
 {
     auto const &prediction = choice.prediction;
-    note_request(
+    buffer_request_log(
         w, request, "request_placed",
         {{"instance", choice.instance},
          {"stage", choice.stage == relay_stage::prefill ? "prefill" : "run"},
@@ -89,7 +89,7 @@
     bool const prefill = choice.stage == relay_stage::prefill;
     w.out.relay_calls.push_back(
         make_call(w, request, instance, choice, attempt));
-    note_placement(w, request, instance, choice);
+    record_placement(w, request, instance, choice);
     relay.requests.add({attempt, request.number, choice.instance, choice.stage,
                         w.now, choice.prediction.time,
                         choice.prediction.unread_tokens,
@@ -112,11 +112,12 @@
         static_cast<std::uint64_t>(choice.prediction.unread_tokens);
 }
 
-/// Prompt tokens of this daemon's waiting requests by service.
+/// Uncached prompt tokens of this daemon's waiting requests by service.
 using queued_tokens = std::map<std::string, double>;
 
-/// @return prompt tokens that the engines of a service read in a millisecond
-double fleet_tokens_per_ms(world const &w, std::string const &service)
+/// @return prefill throughput of a service, in tokens per millisecond, summed
+///         over the engines that accept work
+double service_tokens_per_ms(world const &w, std::string const &service)
 {
     auto const &instances = w.relay.instances.of_service(service);
     return std::accumulate(instances.begin(), instances.end(), 0.0,
@@ -129,8 +130,8 @@
                            });
 }
 
-/// @return time until the engines have read the prompts that wait here before
-///         this one and, as far as they are like this daemon, at the others
+/// @return time until the engines have prefilled the prompts queued before this
+///         one, on the assumption that other daemons queue as many as this one
 duration queue_time(world const &w, std::string const &service,
                     instance_choice const &choice, queued_tokens const &queued)
 {
@@ -140,7 +141,7 @@
         return duration(0);
     }
     return from_seconds(found->second * w.relay.sharing_daemons() /
-                        fleet_tokens_per_ms(w, service) / 1e3);
+                        service_tokens_per_ms(w, service) / 1e3);
 }
 
 void wait(world &w, relay_state_entry const &request, queued_tokens &queued)
@@ -150,32 +151,32 @@
     wake_at(w, request.not_before);
 }
 
-/// Sends or refuses the request, or lets it wait.
+/// Sends, refuses or queues the request.
 void place(world &w, request_number number, queued_tokens &queued)
 {
     auto &request = *w.relay.requests.find(number);
     auto const choice = choose_instance(w, request);
     if (!choice)
     {
-        fail_relay(w, number, "no instance of the service takes work");
+        fail_relay(w, number, "no instance of the service accepts work");
         return;
     }
-    auto const left = request.begin_by - w.now;
+    auto const remaining = request.begin_by - w.now;
     auto const needed = choice->prediction.time +
                         queue_time(w, request.service, *choice, queued);
-    if (request.runs == 0 && needed > left)
+    if (request.runs == 0 && needed > remaining)
     {
-        auto const excess = needed - left;
+        auto const excess = needed - remaining;
         refuse_relay(
             w, number, result_code::deadline_unreachable,
-            "the earliest first event is predicted after the caller leaves",
-            spread_retry_after(w, std::max(excess * 2, shortest_retry_after)));
+            "the earliest predicted first event is after the deadline",
+            spread_retry_after(w, std::max(excess * 2, min_retry_after)));
         return;
     }
     if (choice->full)
     {
         request.waiting_tokens = choice->prediction.unread_tokens;
-        request.not_before = w.now + comparison_pause;
+        request.not_before = w.now + comparison_interval;
         wait(w, request, queued);
         return;
     }
--- a/src/place_relays.hpp
+++ b/src/place_relays.hpp
@@ -6,11 +6,11 @@
 
 struct world;
 
-/// Sends waiting requests to the instances that are predicted to answer first,
-/// the most urgent ones before others. A request that no instance can answer in
-/// its time is refused at once as not run.
+/// Sends waiting requests to the instances with the earliest predicted answer,
+/// in order of priority. A request that no instance can answer before its
+/// deadline is refused at once as not run.
 ///
-/// @param w the daemon
+/// @param w state of the daemon
 void place_relays(world &w);
 
 } // namespace agateledge
--- a/src/predict_first_event.cpp
+++ b/src/predict_first_event.cpp
@@ -11,45 +11,48 @@
 namespace
 {
 
-/// Speeds until the engines of a service have been observed: the slower of the
-/// two known deployments; an engine in decode role reads at half the speed.
+/// Prefill speeds until a service's engines have been measured: those of the
+/// slower of the two known deployments. An engine in decode role prefills at
+/// half the speed.
 constexpr double initial_prefill_tokens_per_ms = 48;
 constexpr double initial_decode_tokens_per_ms = 24;
 
-/// Range in which a learned speed is believed.
-constexpr double least_tokens_per_ms = 5;
-constexpr double most_tokens_per_ms = 200;
+/// Range to which measured speeds are clamped.
+constexpr double min_tokens_per_ms = 5;
+constexpr double max_tokens_per_ms = 200;
 
-/// Prompts that are too short say little about the speed of reading.
-constexpr int least_sample_tokens = 1500;
+/// Minimum tokens of a speed sample: fixed costs dominate shorter prompts.
+constexpr int min_sample_tokens = 1500;
 
-/// Time to the first event that does not depend on the prompt: the connection,
-/// the set-up of a request, and one step of the batch.
-constexpr duration engine_base = milliseconds(20);
+/// Time to the first event that does not depend on the prompt: connection,
+/// request set-up, and one batch step.
+constexpr duration engine_base_time = milliseconds(20);
 
-/// Time that a copy from another engine's cache takes beside the transfer.
-constexpr duration copy_base = milliseconds(8);
+/// Fixed time of a copy from another engine's cache, without the transfer.
+constexpr duration copy_base_time = milliseconds(8);
 
-/// Time of a plain call on an idle endpoint.
-constexpr duration endpoint_base = milliseconds(15);
+/// Time of a call to an idle endpoint.
+constexpr duration endpoint_base_time = milliseconds(15);
 
-/// Weight of a new sample of the delay.
+/// Weight of a new delay sample.
 constexpr double delay_weight = 0.3;
-/// Time in which a delay that is not confirmed halves.
+/// Half-life of the delay while there are no new samples.
 constexpr double delay_half_life_s = 0.8;
-/// Weights of a sample of the speed that is above and below the present value:
-/// unseen calls of other daemons only ever make an engine look slower.
+/// Weights of a speed sample above and below the present estimate. Samples
+/// below it count less: calls of other daemons only make an engine appear
+/// slower.
 constexpr double faster_weight = 0.15;
 constexpr double slower_weight = 0.03;
 
-duration delay_now(world const &w, instance_state const &instance)
+duration current_delay(world const &w, instance_state const &instance)
 {
-    return fade(instance.delay, w.now - instance.delay_seen_at,
-                delay_half_life_s);
+    return exponential_decay(instance.delay, w.now - instance.delay_seen_at,
+                             delay_half_life_s);
 }
 
-/// @return time by which the oldest silent call is later than predicted
-duration overdue(world const &w, instance_state const &instance)
+/// @return maximum time by which an unanswered call exceeds its prediction; at
+///         least 0
+duration max_overdue_time(world const &w, instance_state const &instance)
 {
     duration most{};
     for (auto const number : instance.open_calls)
@@ -63,7 +66,7 @@
     return most;
 }
 
-duration reading_time(world const &w, instance_state const &instance,
+duration prefill_time(world const &w, instance_state const &instance,
                       double tokens)
 {
     return from_seconds(tokens / prefill_tokens_per_ms(w, instance) / 1e3);
@@ -71,7 +74,8 @@
 
 } // namespace
 
-duration copying_time(world const &w, std::string const &service, int tokens)
+duration prefix_copy_time(world const &w, std::string const &service,
+                          int tokens)
 {
     auto const *profile = find_service(*w.relay.routing, service);
     if (tokens == 0 || profile == nullptr || profile->kv_bytes_per_ms <= 0)
@@ -80,7 +84,7 @@
     }
     auto const transfer_ms =
         tokens * profile->kv_bytes_per_token / profile->kv_bytes_per_ms;
-    return copy_base + from_seconds(transfer_ms / 1e3);
+    return copy_base_time + from_seconds(transfer_ms / 1e3);
 }
 
 double prefill_tokens_per_ms(world const &w, instance_state const &instance)
@@ -103,12 +107,13 @@
                                            int copyable_tokens)
 {
     first_event_prediction out;
-    out.wait = std::max(delay_now(w, instance), overdue(w, instance));
+    out.wait =
+        std::max(current_delay(w, instance), max_overdue_time(w, instance));
     if (!request.content->prompt)
     {
         auto const open = static_cast<int>(instance.open_calls.size());
-        out.wait += endpoint_base * open / 2;
-        out.time = out.wait + endpoint_base;
+        out.wait += endpoint_base_time * open / 2;
+        out.time = out.wait + endpoint_base_time;
         return out;
     }
     auto const tokens = request.content->prompt->prompt_tokens;
@@ -117,37 +122,38 @@
     out.unread_tokens =
         std::max(tokens - out.cached_tokens - out.copied_tokens, 1);
     out.wait +=
-        reading_time(w, instance,
+        prefill_time(w, instance,
                      static_cast<double>(instance.unread_tokens +
                                          instance.others_unread_tokens));
-    out.time = out.wait + engine_base +
-               copying_time(w, request.service, out.copied_tokens) +
-               reading_time(w, instance, out.unread_tokens);
+    out.time = out.wait + engine_base_time +
+               prefix_copy_time(w, request.service, out.copied_tokens) +
+               prefill_time(w, instance, out.unread_tokens);
     return out;
 }
 
-void learn_first_event(world &w, instance_state &instance, instant sent_at,
-                       duration predicted, int unread_tokens, bool alone)
+void update_first_event_estimate(world &w, instance_state &instance,
+                                 instant sent_at, duration predicted,
+                                 int unread_tokens, bool alone)
 {
-    auto const taken = w.now - sent_at;
-    auto const before = delay_now(w, instance);
-    auto const sample = std::max(taken - predicted + before, duration(0));
+    auto const elapsed = w.now - sent_at;
+    auto const before = current_delay(w, instance);
+    auto const sample = std::max(elapsed - predicted + before, duration(0));
     instance.delay = from_seconds((1 - delay_weight) * to_seconds(before) +
                                   delay_weight * to_seconds(sample));
     instance.delay_seen_at = w.now;
-    if (!alone || unread_tokens < least_sample_tokens)
+    if (!alone || unread_tokens < min_sample_tokens)
     {
         return;
     }
-    auto const reading_ms =
-        std::max(to_seconds(taken - engine_base) * 1e3, 1.0);
-    auto const speed = std::clamp(unread_tokens / reading_ms,
-                                  least_tokens_per_ms, most_tokens_per_ms);
+    auto const prefill_ms =
+        std::max(to_seconds(elapsed - engine_base_time) * 1e3, 1.0);
+    auto const speed = std::clamp(unread_tokens / prefill_ms, min_tokens_per_ms,
+                                  max_tokens_per_ms);
     auto const &definition = instance.definition;
-    auto const known = prefill_tokens_per_ms(w, instance);
-    auto const weight = speed > known ? faster_weight : slower_weight;
+    auto const estimate = prefill_tokens_per_ms(w, instance);
+    auto const weight = speed > estimate ? faster_weight : slower_weight;
     w.relay.prefill_speeds[{definition.service, definition.role}] =
-        known + weight * (speed - known);
+        estimate + weight * (speed - estimate);
 }
 
 } // namespace agateledge
--- a/src/predict_first_event.hpp
+++ b/src/predict_first_event.hpp
@@ -12,51 +12,53 @@
 struct relay_state_entry;
 struct world;
 
-/// What a call of a request to an instance is expected to take.
+/// Predicted time and prompt tokens of a call to an instance.
 struct first_event_prediction
 {
-    /// From the send to the first event, or to the whole reply of a call that
-    /// is not streamed.
+    /// From the send to the first event, or to the complete reply of a call
+    /// that is not streamed.
     duration time{};
-    /// Part of `time` that the instance needs for calls before this one.
+    /// Part of `time` spent waiting for earlier calls of the instance.
     duration wait{};
-    /// Prompt tokens that the engine has to read.
+    /// Prompt tokens that the engine has to prefill.
     int unread_tokens = 0;
-    /// Prompt tokens that are believed to be in its prefix cache.
+    /// Prompt tokens that are expected to be in its prefix cache.
     int cached_tokens = 0;
     /// Prompt tokens that it copies from another engine's cache.
     int copied_tokens = 0;
 };
 
-/// Predicts the time to the first event from the instance's open calls, from
-/// the delay that its replies showed lately, and from the prompt tokens that it
-/// has to read.
+/// Predicts the time to the first event from the instance's open calls, the
+/// recent delay of its replies, and the prompt tokens that it has to prefill.
 ///
-/// @param w the daemon
+/// @param w state of the daemon
 /// @param request request to be sent
-/// @param instance where it would be sent
+/// @param instance instance that it would be sent to
 /// @param copyable_tokens leading tokens that it can copy from another engine
 first_event_prediction predict_first_event(world const &w,
                                            relay_state_entry const &request,
                                            instance_state const &instance,
                                            int copyable_tokens);
 
-/// Learns from the first bytes of a reply how much later than predicted the
-/// instance replies, and how fast an idle engine reads.
+/// Updates the estimates of an instance's delay and of the prefill speed of its
+/// service and role from the first bytes of a reply.
 ///
 /// @param sent_at time of the send
-/// @param predicted prediction at that time
-/// @param unread_tokens prompt tokens that the engine had to read
-/// @param alone no other call of this daemon was open there
-void learn_first_event(world &w, instance_state &instance, instant sent_at,
-                       duration predicted, int unread_tokens, bool alone);
+/// @param predicted time to the first event that was predicted at the send
+/// @param unread_tokens prompt tokens that the engine had to prefill
+/// @param alone no other call of this daemon was open at the instance; only
+///        then the prefill speed is updated
+void update_first_event_estimate(world &w, instance_state &instance,
+                                 instant sent_at, duration predicted,
+                                 int unread_tokens, bool alone);
 
 /// @return time to copy cached tokens from another engine of the service; 0
 ///         for none
-duration copying_time(world const &w, std::string const &service, int tokens);
+duration prefix_copy_time(world const &w, std::string const &service,
+                          int tokens);
 
-/// @return prompt tokens that an idle engine of this kind reads in a
-///         millisecond
+/// @return prompt tokens that an idle engine of this service and role prefills
+///         in a millisecond
 double prefill_tokens_per_ms(world const &w, instance_state const &instance);
 
 } // namespace agateledge
--- a/src/predict_pause.hpp
+++ b/src/predict_pause.hpp
@@ -9,23 +9,25 @@
 struct instance_state;
 struct world;
 
-/// Cost of the pauses that the streams of an engine make while it reads a
-/// prompt. Answers bursts of long prompts, and of many short ones, beside short
-/// streams: an engine in decode role reads prompts between the tokens of its
-/// streams, so that each prompt holds all of them up. The cost is small while
-/// the predicted pause is far below the bound of the service, and equals the
-/// bound where the pause reaches it.
+/// Cost of the pauses between the events of an engine's streams while it
+/// prefills a prompt. An engine in decode role prefills prompts between the
+/// tokens of its streams, so each prompt delays all of them; bursts of long
+/// prompts or of many short ones then stall short streams. The cost is small
+/// while the predicted pause is far below the target of the service, and equals
+/// the target when the pause reaches it.
 ///
-/// @param w the daemon
-/// @param instance engine that would read the prompt
-/// @param unread_tokens prompt tokens that it would have to read
+/// @param w state of the daemon
+/// @param instance engine that would prefill the prompt
+/// @param unread_tokens prompt tokens that it would have to prefill
 /// @return time to add to the predicted first event when engines are compared;
-///         0 for an engine without streams or a service without a bound
+///         0 for an engine in prefill role or a service without a pause target
 duration pause_cost(world const &w, instance_state const &instance,
                     int unread_tokens);
 
-/// Learns from the time between two events of a stream.
-void learn_pause(world const &w, instance_state &instance, duration pause);
+/// Updates the estimated pause of an instance from the time between two events
+/// of a stream.
+void update_pause_estimate(world const &w, instance_state &instance,
+                           duration pause);
 
 } // namespace agateledge
 
--- a/src/relay_lifecycle.cpp
+++ b/src/relay_lifecycle.cpp
@@ -12,18 +12,18 @@
 namespace
 {
 
-/// Calls that an instance may refuse before the request is given up, besides
-/// the calls that its route allows.
+/// Refused calls of one request that are allowed in addition to the attempts of
+/// its route.
 constexpr int max_refused_calls = 3;
 
-void count_result(world &w, instance_state &instance, call_result result)
+void record_result(world &w, instance_state &instance, call_result result)
 {
     auto &health = instance.health;
-    auto const past = health.results_at(w.now);
+    auto const decayed = health.results_at(w.now);
     health.results.succeeded =
-        past.succeeded + (result == call_result::succeeded ? 1 : 0);
+        decayed.succeeded + (result == call_result::succeeded ? 1 : 0);
     health.results.failed =
-        past.failed + (result == call_result::failed ? 1 : 0);
+        decayed.failed + (result == call_result::failed ? 1 : 0);
     health.counted_at = w.now;
 }
 
@@ -33,7 +33,7 @@
     w.out.relay_answers.push_back(std::move(answer));
 }
 
-void drop_request(world &w, request_number number)
+void remove_request(world &w, request_number number)
 {
     auto &waiting = w.relay.waiting;
     std::erase(waiting, number);
@@ -44,18 +44,18 @@
 
 void close_attempt(world &w, attempt_number attempt, call_result result)
 {
-    auto const *open = w.relay.requests.find(attempt);
-    if (open == nullptr)
+    auto const *call = w.relay.requests.find(attempt);
+    if (call == nullptr)
     {
         return;
     }
-    auto *instance = w.relay.instances.find(open->instance);
+    auto *instance = w.relay.instances.find(call->instance);
     if (instance != nullptr && instance->open_calls.erase(attempt) != 0)
     {
-        instance->unread_tokens -= open->answered ? 0 : open->unread_tokens;
-        count_result(w, *instance, result);
+        instance->unread_tokens -= call->answered ? 0 : call->unread_tokens;
+        record_result(w, *instance, result);
     }
-    if (auto *request = w.relay.requests.find(open->request);
+    if (auto *request = w.relay.requests.find(call->request);
         request != nullptr && request->attempt == attempt)
     {
         request->attempt.reset();
@@ -77,9 +77,10 @@
     }
 }
 
-duration spread_retry_after(world &w, duration longest)
+duration spread_retry_after(world &w, duration max_retry_after)
 {
-    return from_seconds(to_seconds(longest) * (0.5 + 0.5 * w.random.uniform()));
+    return from_seconds(to_seconds(max_retry_after) *
+                        (0.5 + 0.5 * w.random.uniform()));
 }
 
 void refuse_relay(world &w, request_number number, result_code code,
@@ -116,7 +117,7 @@
                     true);
     answer(w, std::move(reply));
     ++w.relay.metrics.requests[request->answering ? "cut" : "refused"];
-    drop_request(w, number);
+    remove_request(w, number);
 }
 
 void fail_relay(world &w, request_number number, std::string const &message)
@@ -163,7 +164,7 @@
          {"late", late ? "true" : "false"},
          {"sends", std::to_string(request->sends)}},
         late || outcome != "answered");
-    drop_request(w, number);
+    remove_request(w, number);
 }
 
 bool retry_relay(world &w, relay_state_entry &request, bool extra,
@@ -183,19 +184,19 @@
                      w.now, relay.limits.retries, relay.sharing_daemons()))
     {
         ++relay.metrics.retries_denied;
-        note_request(w, request, "retry_denied",
-                     {{"reason", reason},
-                      {"daemons", std::to_string(relay.daemons.size())}});
+        buffer_request_log(w, request, "retry_denied",
+                           {{"reason", reason},
+                            {"daemons", std::to_string(relay.daemons.size())}});
         return false;
     }
     ++relay.metrics.retries;
     request.not_before = next;
     relay.waiting.push_back(request.number);
-    note_request(w, request, "request_retried",
-                 {{"reason", reason},
-                  {"runs", std::to_string(request.runs)},
-                  {"sends", std::to_string(request.sends)},
-                  {"resume_after", request.last_event}});
+    buffer_request_log(w, request, "request_retried",
+                       {{"reason", reason},
+                        {"runs", std::to_string(request.runs)},
+                        {"sends", std::to_string(request.sends)},
+                        {"resume_after", request.last_event}});
     return true;
 }
 
--- a/src/relay_limits.hpp
+++ b/src/relay_limits.hpp
@@ -9,18 +9,18 @@
 namespace agateledge
 {
 
-/// Bounds of the deployment that a daemon behind the platform keeps; all come
-/// from its settings file.
+/// Limits that the deployment sets for a daemon behind the platform; all come
+/// from the settings file.
 struct relay_limits
 {
     retry_limits retries;
-    /// Time from the shutdown signal to the forced end of the process.
+    /// Time from the shutdown signal until the process is killed.
     duration shutdown_grace = seconds(8);
-    /// Time from an instance's announcement that it leaves until it must get no
-    /// new work.
+    /// Maximum time from an instance's announcement that it drains until it
+    /// gets no new work.
     duration drain_bound = seconds(2);
-    /// Time in which a daemon whose connections have fallen silent must know
-    /// the state of the store again.
+    /// Maximum time in which a daemon whose connections stopped responding must
+    /// know the state of the store again.
     duration reconnect_bound = seconds(3);
 
     auto operator<=>(relay_limits const &) const = default;
--- a/src/relay_metrics.hpp
+++ b/src/relay_metrics.hpp
@@ -11,17 +11,16 @@
 namespace agateledge
 {
 
-/// Counters and latencies of the requests that are passed on, served on the
-/// metrics address.
+/// Counters and latencies of proxied requests, served on the metrics address.
 struct relay_metrics
 {
-    /// Label of a counter; the sets of values are bounded by the configuration
-    /// and by the result codes.
+    /// Counts by label value; the configuration and the result codes limit the
+    /// number of values.
     using counter_map = std::map<std::string, std::uint64_t>;
 
     /// Ended requests by outcome.
     counter_map requests;
-    /// Refusals and failures of the daemon by result code.
+    /// Requests that the daemon refused or failed, by result code.
     counter_map refusals;
     /// Calls to instances by result.
     counter_map calls;
@@ -29,20 +28,21 @@
     counter_map cache_reads;
     /// Calls to the store by result.
     counter_map store_calls;
-    /// Load reports of other daemons by what became of them.
+    /// Load reports from other daemons by result.
     counter_map load_reports;
     std::uint64_t retries = 0;
     std::uint64_t retries_denied = 0;
     std::uint64_t resumed_streams = 0;
     std::uint64_t prefill_handovers = 0;
-    /// Prompt tokens that were expected to be cached and to be read.
+    /// Prompt tokens that were predicted to be cached and to be prefilled.
     std::uint64_t tokens_cached = 0;
     std::uint64_t tokens_read = 0;
     /// From the arrival of a request to its first call.
     latency_quantiles queued;
-    /// From the arrival of a request to the first event or the whole answer.
+    /// From the arrival of a request to the first event or the complete answer.
     latency_quantiles first_event;
-    /// Difference between the first event and its prediction.
+    /// Time by which first events exceeded their predictions; 0 for earlier
+    /// ones.
     latency_quantiles late_by;
 };
 
--- a/src/relay_metrics_text.cpp
+++ b/src/relay_metrics_text.cpp
@@ -44,7 +44,8 @@
         << prefix << name << "_count " << values.count() << "\n";
 }
 
-/// @return seconds since a table was last confirmed, or -1 before that
+/// @return seconds since the table was last confirmed; -1 before its first full
+///         read
 double age_of(world const &w, followed_table table)
 {
     auto const &follower =
--- a/src/relay_metrics_text.hpp
+++ b/src/relay_metrics_text.hpp
@@ -8,7 +8,7 @@
 
 struct world;
 
-/// @return the relay metrics of a daemon in the Prometheus text format
+/// @return the proxy's metrics in the Prometheus text format
 std::string relay_metrics_text(world const &w);
 
 } // namespace agateledge
--- a/src/relay_state.hpp
+++ b/src/relay_state.hpp
@@ -26,26 +26,26 @@
 namespace agateledge
 {
 
-/// What this daemon knows of one followed table.
+/// Progress of reading one followed table of the store.
 struct table_follower
 {
-    /// The table is to be read whole.
+    /// The next read starts or continues a full read of the table.
     bool whole = true;
     bool in_flight = false;
-    /// Key after which a whole read goes on.
+    /// Key after which a full read continues.
     std::string after_key;
-    /// Version of the first page of a whole read.
+    /// Version of the first page of a full read.
     std::uint64_t first_page_version = 0;
-    /// Version up to which the table is known.
+    /// Version up to which changes have been read.
     std::uint64_t version = 0;
     instant next_read{};
     int failures = 0;
-    /// True once the table has been read whole.
+    /// True once a full read has completed.
     bool known = false;
     instant confirmed_at{};
 };
 
-/// Whether the platform's store answers this daemon.
+/// Reachability of the platform's store.
 struct store_condition
 {
     bool reachable = false;
@@ -58,21 +58,21 @@
     instant restored_at{};
 };
 
-/// Daemon of the fleet, from its row.
+/// A daemon of the deployment, from its row in the store.
 struct daemon_peer
 {
     /// Time at which the row last changed.
     instant seen_at{};
-    /// Where it receives reports; empty when not told.
+    /// Address at which it receives reports; empty when it announces none.
     std::string address;
     std::string data_centre;
 };
 
-/// Daemons that are assumed to be live at least: rows of daemons that started
-/// moments ago may not have been read.
-constexpr double fewest_counted_daemons = 4;
+/// Minimum number of live daemons that is assumed: the rows of daemons that
+/// have just started may not have been read yet.
+constexpr double min_assumed_daemons = 4;
 
-/// Tables of the requests that are passed on unchanged.
+/// State of the proxy.
 struct relay_state
 {
     /// False in a daemon that serves only the product's own interface;
@@ -81,10 +81,11 @@
     relay_limits limits;
     std::shared_ptr<routing_configuration const> routing =
         std::make_shared<routing_configuration const>();
-    /// By service; derived from `routing` by `put_routing`.
+    /// Limits of the pauses between stream events by service; derived from
+    /// `routing` by `put_routing`.
     std::map<std::string, duration> pause_bounds;
     instance_table instances;
-    /// Instances that the pages of the present whole read returned.
+    /// Ids of the instances returned so far by the full read in progress.
     std::vector<std::string> listed;
     relay_table requests;
     /// Requests without a call, oldest first.
@@ -93,34 +94,35 @@
     std::map<std::string, shared_retry_budget> budgets;
     std::array<table_follower, followed_table_count> followers;
     store_condition store;
-    /// Daemons by name, with this one once its row has been read.
+    /// Daemons by name, including this one once its row has been read.
     std::map<std::string, daemon_peer> daemons;
     load_exchange load;
-    /// Where this daemon receives reports of others.
+    /// Address at which this daemon receives reports of others.
     std::string peer_address;
     instant next_daemon_row{};
-    /// Time from which the health of instances is compared again.
-    instant next_judgement{};
-    /// Prompt tokens that an idle engine reads in a millisecond, learned by
-    /// service and role.
+    /// Earliest time of the next comparison of instance health.
+    instant next_health_check{};
+    /// Estimated prompt tokens that an idle engine prefills in a millisecond,
+    /// by service and role.
     std::map<std::pair<std::string, engine_role>, double> prefill_speeds;
     relay_metrics metrics;
     std::optional<instant> stopping_since;
-    /// Last time at which a request was open, while stopping.
-    instant last_open{};
+    /// Last time at which a request was open during shutdown.
+    instant last_open_at{};
 
-    /// Puts a configuration in force.
+    /// Applies a new configuration.
     void put_routing(std::shared_ptr<routing_configuration const> next)
     {
         routing = std::move(next);
         pause_bounds = pause_bounds_of(*routing);
     }
 
-    /// @return daemons among which the bounds of the deployment are divided
+    /// @return number of daemons among which the limits of the deployment are
+    ///         divided
     double sharing_daemons() const
     {
         return std::max(static_cast<double>(daemons.size()),
-                        fewest_counted_daemons);
+                        min_assumed_daemons);
     }
 };
 
--- a/src/relay_table.hpp
+++ b/src/relay_table.hpp
@@ -18,7 +18,7 @@
 namespace agateledge
 {
 
-/// KV cache that an engine keeps for a request.
+/// KV cache that an engine retains for a request after the prefill.
 struct kept_prefill
 {
     std::string instance;
@@ -26,7 +26,7 @@
     std::string handle;
 };
 
-/// Open request of a caller.
+/// State of an open request.
 struct relay_state_entry
 {
     request_number number;
@@ -36,44 +36,46 @@
     std::string service;
     prompt_chain chain;
     instant arrived_at{};
-    /// End of the caller's patience or of the route's timeout.
+    /// Deadline: the time limit of the caller or the timeout of the route,
+    /// whichever is earlier.
     instant expires_at{};
-    /// Time by which the answer must begin: the caller leaves a silent stream
-    /// before its patience ends.
+    /// Time by which the answer must begin; for a stream before the deadline,
+    /// because callers leave a stream that does not begin.
     instant begin_by{};
     std::optional<attempt_number> attempt;
     /// Instances that the request was sent to, in order.
     std::vector<std::string> tried;
-    /// Calls that ran or may have run.
+    /// Number of calls that ran or may have run.
     int runs = 0;
-    /// Calls that reached an instance, with those that it refused.
+    /// Number of calls that reached an instance, including refused ones.
     int sends = 0;
-    /// Waits for a place until then, after a failed call or because engines
-    /// were full.
+    /// Time before which the request is not placed, after a failed call or
+    /// because engines were at their concurrency limit.
     instant not_before{};
-    /// Prompt tokens that an engine would have had to read when the request was
-    /// last compared and had to wait.
+    /// Prompt tokens that the chosen engine would have had to prefill when the
+    /// request was last held back; 0 once it is sent.
     int waiting_tokens = 0;
     std::optional<kept_prefill> kept;
-    /// Prefill elsewhere has failed once; the next call runs in one place.
+    /// A prefill on a separate engine or the hand-over of its KV cache has
+    /// failed; the next call prefills and decodes on the same engine.
     bool prefill_failed = false;
-    /// First line and headers were given to the caller.
+    /// The status line and headers have been sent to the caller.
     bool answering = false;
-    /// Last event that the caller was given.
+    /// Id of the last event that was sent to the caller.
     std::string last_event;
-    /// Begin of an event whose rest has not arrived.
+    /// Received bytes of an event that is not complete yet.
     std::string partial_event;
-    /// Head and body of an answer that is passed on as a whole.
+    /// Head of the reply, and the body of a reply that is forwarded when it is
+    /// complete.
     std::shared_ptr<relay_reply_head const> head;
     std::string body;
     std::optional<instant> first_sent_at;
     std::optional<instant> first_event_at;
-    /// Arrival of the last events of a stream, and the longest time between
-    /// two such arrivals.
+    /// Arrival of the last events of a stream, and the maximum time between two
+    /// such arrivals.
     instant last_event_at{};
     duration longest_pause{};
-    /// Lines on the decisions so far, written when the request fails or is
-    /// late.
+    /// Buffered log entries, written when the request fails or is late.
     std::vector<log_entry> trail;
 };
 
@@ -85,11 +87,12 @@
     std::string instance;
     relay_stage stage = relay_stage::run;
     instant sent_at{};
-    /// Time after which the first bytes were predicted.
+    /// Predicted time from the send to the first bytes.
     duration predicted{};
-    /// Prompt tokens that the engine was expected to read.
+    /// Prompt tokens that the engine was expected to prefill.
     int unread_tokens = 0;
-    /// Calls of this daemon that were open at the instance when it was sent.
+    /// Number of this daemon's calls open at the instance when this one was
+    /// sent.
     std::size_t calls_before = 0;
     bool answered = false;
 };
@@ -107,7 +110,7 @@
     relay_attempt const *find(attempt_number attempt) const;
     void erase(attempt_number attempt);
 
-    /// @return a number that was not used before
+    /// @return a number that has not been used before
     attempt_number next_attempt() { return attempt_number(++last_attempt_); }
 
     std::size_t size() const { return entries_.size(); }
--- a/src/shared_retry_budget.cpp
+++ b/src/shared_retry_budget.cpp
@@ -12,9 +12,10 @@
 /// Resolution of the sliding window.
 constexpr duration slot_length = milliseconds(500);
 
-/// Part of the bound that is used: the daemons' windows and the platform's do
-/// not begin together, and requests near the edge count in one of them only.
-constexpr double used_part = 0.7;
+/// Fraction of the limit that is used. The windows of the daemons and of the
+/// platform do not start at the same time, so that requests near an edge count
+/// in only one of them.
+constexpr double budget_safety_factor = 0.7;
 
 } // namespace
 
@@ -35,7 +36,7 @@
     }
 }
 
-void shared_retry_budget::count_request(instant now)
+void shared_retry_budget::record_request(instant now)
 {
     ++current(now).requests;
 }
@@ -50,8 +51,9 @@
     auto const extra = std::accumulate(slots_.begin(), slots_.end(), 0,
                                        [](int sum, slot const &item)
                                        { return sum + item.extra; });
-    auto const allowed = used_part * (limits.share * requests +
-                                      limits.extra / std::max(1.0, daemons));
+    auto const allowed =
+        budget_safety_factor *
+        (limits.share * requests + limits.extra / std::max(1.0, daemons));
     return allowed - extra;
 }
 
--- a/src/shared_retry_budget.hpp
+++ b/src/shared_retry_budget.hpp
@@ -8,34 +8,35 @@
 namespace agateledge
 {
 
-/// Bound on the calls beyond the first of each request that a service gets in
-/// a sliding window, summed over all daemons.
+/// Limit on the extra calls, those after the first of each request, that a
+/// service gets in a sliding window, summed over all daemons.
 struct retry_limits
 {
-    /// Extra calls that each request allows.
+    /// Extra calls allowed per request in the window.
     double share = 0.2;
-    /// Extra calls that are allowed besides, over all daemons.
+    /// Extra calls allowed in addition, over all daemons.
     double extra = 50;
     duration window = seconds(10);
 
     auto operator<=>(retry_limits const &) const = default;
 };
 
-/// This daemon's part of the extra calls to one service.
+/// This daemon's share of the retry budget of one service.
 class shared_retry_budget
 {
 public:
-    /// Counts a request of a caller.
-    void count_request(instant now);
+    /// Records a request, which raises the budget.
+    void record_request(instant now);
 
-    /// Takes one extra call.
+    /// Takes one extra call from the budget.
     ///
-    /// @param limits bound over all daemons
-    /// @param daemons daemons that share the bound; at least 1
-    /// @return false when this daemon's part is used up
+    /// @param limits limits over all daemons
+    /// @param daemons number of daemons that share the limits; values below 1
+    ///        count as 1
+    /// @return false when this daemon's share is exhausted
     bool spend(instant now, retry_limits const &limits, double daemons);
 
-    /// @return extra calls that are left
+    /// @return number of extra calls that are left
     double left(instant now, retry_limits const &limits, double daemons);
 
 private:
--- a/src/stop_relays.cpp
+++ b/src/stop_relays.cpp
@@ -15,17 +15,18 @@
 
 constexpr duration check_interval = milliseconds(50);
 
-/// Time for which a stopping daemon serves at least: the balancer asks once a
-/// second and needs two failures to send connections elsewhere.
-constexpr duration shortest_service = milliseconds(3500);
+/// Minimum time for which the daemon serves after the shutdown signal: the load
+/// balancer checks health once a second and needs two failed checks before it
+/// sends connections elsewhere.
+constexpr duration min_drain_time = milliseconds(3500);
 
-/// Time without an open request before the exit.
-constexpr duration quiet_time = milliseconds(700);
+/// Time without an open request after which the process exits.
+constexpr duration idle_exit_time = milliseconds(700);
 
-/// Time before the forced end at which open requests are given up.
+/// Time before the end of the grace period at which open requests are failed.
 constexpr duration exit_margin = milliseconds(600);
 
-void give_up_open(world &w)
+void fail_open_requests(world &w)
 {
     std::vector<request_number> open;
     for (auto const &[number, request] : w.relay.requests.all())
@@ -33,8 +34,9 @@
         open.push_back(number);
     }
     std::ranges::sort(open);
-    std::ranges::for_each(open, [&w](request_number number)
-                          { fail_relay(w, number, "the daemon stops"); });
+    std::ranges::for_each(
+        open, [&w](request_number number)
+        { fail_relay(w, number, "the daemon is shutting down"); });
 }
 
 } // namespace
@@ -45,7 +47,7 @@
     if (w.in.shutdown && !relay.stopping_since)
     {
         relay.stopping_since = w.now;
-        relay.last_open = w.now;
+        relay.last_open_at = w.now;
         w.out.daemon_row_writes.push_back({w.identity.name, true, {}, {}});
         log_relay(w, log_level::info, "stop_begun",
                   {{"open_requests", std::to_string(relay.requests.size())}});
@@ -55,19 +57,19 @@
         return;
     }
     wake_at(w, w.now + check_interval);
-    auto const stopping = w.now - *relay.stopping_since;
-    if (stopping >= relay.limits.shutdown_grace - exit_margin)
+    auto const elapsed = w.now - *relay.stopping_since;
+    if (elapsed >= relay.limits.shutdown_grace - exit_margin)
     {
-        give_up_open(w);
+        fail_open_requests(w);
         w.out.stop_ready = true;
         return;
     }
     if (relay.requests.size() != 0)
     {
-        relay.last_open = w.now;
+        relay.last_open_at = w.now;
     }
-    w.out.stop_ready =
-        stopping >= shortest_service && w.now - relay.last_open >= quiet_time;
+    w.out.stop_ready = elapsed >= min_drain_time &&
+                       w.now - relay.last_open_at >= idle_exit_time;
 }
 
 } // namespace agateledge
--- a/src/stop_relays.hpp
+++ b/src/stop_relays.hpp
@@ -6,11 +6,11 @@
 
 struct world;
 
-/// Carries out a graceful shutdown: requests that arrive meanwhile are still
-/// served, and the process may exit once none has been open for a while, or
-/// shortly before it would be ended by force.
+/// Carries out a graceful shutdown: arriving requests are still served, and the
+/// process may exit once no request has been open for some time, or shortly
+/// before it would be killed.
 ///
-/// @param w the daemon
+/// @param w state of the daemon
 void stop_relays(world &w);
 
 } // namespace agateledge
--- a/src/tick_relays.hpp
+++ b/src/tick_relays.hpp
@@ -6,9 +6,10 @@
 
 struct world;
 
-/// Runs the systems of the requests that are passed on unchanged.
+/// Runs one tick of the proxy: applies replies and events, then admits, places
+/// and ends requests.
 ///
-/// @param w a daemon behind the platform's balancer
+/// @param w state of a daemon behind the platform's load balancer
 void tick_relays(world &w);
 
 } // namespace agateledge
