--- a/harness/relay_fixture.cpp
+++ b/harness/relay_fixture.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr duration longest_step = milliseconds(10);
+constexpr duration max_step = milliseconds(10);
 
 route_definition make_route(std::string const &name, route_kind kind,
                             std::string const &service)
@@ -87,7 +87,7 @@
     auto const end = state.now + time;
     while (state.now < end)
     {
-        auto next = std::min(end, state.now + longest_step);
+        auto next = std::min(end, state.now + max_step);
         tick(state, next);
         move_into(all, std::exchange(state.out, {}));
     }
@@ -174,7 +174,7 @@
 
 request_number relay_fixture::send(std::string const &path,
                                    std::uint64_t shared_part, int shared_tokens,
-                                   int own_tokens)
+                                   int unshared_tokens)
 {
     relay_request content;
     content.caller_attempt = "attempt-" + std::to_string(++last_request_);
@@ -187,10 +187,10 @@
     {
         prompt_shape prompt;
         prompt.model = "m";
-        prompt.prompt_tokens = shared_tokens + own_tokens;
+        prompt.prompt_tokens = shared_tokens + unshared_tokens;
         // The last part belongs to the request alone.
         prompt.parts = {{shared_part, shared_tokens},
-                        {last_request_ << 32U, own_tokens}};
+                        {last_request_ << 32U, unshared_tokens}};
         content.prompt = prompt;
     }
     relay_arrival arrival;
--- a/harness/relay_fixture.hpp
+++ b/harness/relay_fixture.hpp
@@ -9,50 +9,57 @@
 namespace agateledge
 {
 
-/// One daemon behind the platform in virtual time, without a network: tests put
-/// input in and look at the output of each tick.
+/// One daemon behind the platform in virtual time, without a network. Tests
+/// supply the input and inspect the output of each tick.
 class relay_fixture
 {
 public:
-    /// Starts with one configuration: the routes `/chat/` (a resumable stream),
-    /// `/once/` (a stream that runs once) on the service `models`, and `/book/`
-    /// (non-idempotent) and `/look/` (idempotent) on the service `desk`.
+    /// Sets up the routes `/chat/` (resumable stream) and `/once/` (stream that
+    /// must not be repeated) of the service `models`, and `/book/`
+    /// (non-idempotent) and `/look/` (idempotent) of the service `desk`.
     relay_fixture();
 
-    /// Runs ticks up to a time.
+    /// Advances the virtual time and runs ticks of at most 10 ms.
     ///
+    /// @param time time to advance by
     /// @return output of all ticks
     outbox advance(duration time);
 
-    /// Runs one tick now.
+    /// Runs one tick without advancing the time.
+    ///
+    /// @return output of the tick
     outbox tick_now();
 
-    /// Lists an instance, as a read of changes would.
+    /// Adds an instance by a reply to an incremental read of the directory.
     void list(instance_definition const &instance);
 
-    /// Lists `count` engines of `models`, named `<role>-<number>`.
+    /// Adds `count` engines of `models`, named `<role>-<number>`.
     void list_engines(int count, engine_role role);
 
-    /// Lists `count` endpoints of `desk`, named `desk-<number>`.
+    /// Adds `count` endpoints of `desk`, named `desk-<number>`.
     void list_endpoints(int count);
 
-    /// Feeds a reply to a read of the changes of the instances.
+    /// Supplies a reply to an incremental read of the instances table.
+    ///
+    /// @param renewed ids of instances whose rows were written again
+    /// @param removed ids of instances whose rows were removed
     void instances_changed(std::vector<std::string> const &renewed,
                            std::vector<std::string> const &removed);
 
-    /// Feeds a failed read of the instances.
+    /// Supplies a failed read of the instances table.
     void store_fails();
 
-    /// Sends a request.
+    /// Supplies a request of a caller for the next tick.
     ///
     /// @param path path of the request
     /// @param shared_part id of the shared part of its prompt; 0 for no prompt
     /// @param shared_tokens tokens of that part
-    /// @param own_tokens tokens of the part that no other request shares
+    /// @param unshared_tokens tokens of the part that no other request shares
+    /// @return number of the request
     request_number send(std::string const &path, std::uint64_t shared_part = 0,
-                        int shared_tokens = 0, int own_tokens = 100);
+                        int shared_tokens = 0, int unshared_tokens = 100);
 
-    /// Feeds the head of a reply.
+    /// Supplies the head of a reply; it is signed unless `not_run` is set.
     void reply_head(attempt_number attempt, int status, bool not_run = false);
     void reply_bytes(attempt_number attempt, std::string const &bytes);
     void reply_ends(attempt_number attempt, relay_event_kind kind);
--- a/test/correctness/relay_placement_test.cpp
+++ b/test/correctness/relay_placement_test.cpp
@@ -1,6 +1,6 @@
-// Guards the placement under the heaviest load, bursts of long prompts with
-// shared parts: prompts must return to the engine that has read their shared
-// parts, and daemons must agree on it without messages.
+// Guards placement under the heaviest load, bursts of long prompts with shared
+// parts: prompts must go to an engine that caches their shared parts, and
+// daemons must choose the same engine without exchanging messages.
 #include "choose_instance.hpp"
 #include "relay_fixture.hpp"
 
@@ -19,12 +19,14 @@
 using namespace agateledge;
 
 constexpr int shared_tokens = 13300;
-constexpr int own_tokens = 3700;
+constexpr int unshared_tokens = 3700;
 
 /// Sends one request and answers its call at once.
-std::string home_of(relay_fixture &daemon, std::uint64_t part)
+///
+/// @return the engine that was called
+std::string send_and_answer(relay_fixture &daemon, std::uint64_t part)
 {
-    daemon.send("/once/1", part, shared_tokens, own_tokens);
+    daemon.send("/once/1", part, shared_tokens, unshared_tokens);
     auto const out = daemon.advance(milliseconds(10));
     EXPECT_EQ(out.relay_calls.size(), 1U);
     auto const &call = out.relay_calls.front();
@@ -41,18 +43,18 @@
     relay_fixture other;
     one.list_engines(12, engine_role::decode);
     other.list_engines(12, engine_role::decode);
-    std::set<std::string> homes;
+    std::set<std::string> chosen_engines;
     for (std::uint64_t part = 1; part <= 24; ++part)
     {
-        auto const home = home_of(one, part);
-        EXPECT_EQ(home_of(other, part), home);
-        homes.insert(home);
+        auto const chosen_engine = send_and_answer(one, part);
+        EXPECT_EQ(send_and_answer(other, part), chosen_engine);
+        chosen_engines.insert(chosen_engine);
     }
-    EXPECT_GE(homes.size(), 8U);
+    EXPECT_GE(chosen_engines.size(), 8U);
 }
 
-// Calls of a burst that stay at the home of their part read 3,700 tokens, those
-// that leave it 17,000.
+// A call at an engine that caches the shared part prefills 3,700 tokens, a call
+// at any other engine 17,000.
 TEST(relay_placement, a_burst_reads_few_shared_parts_again)
 {
     relay_fixture daemon;
@@ -61,7 +63,7 @@
     for (int i = 0; i < 120; ++i)
     {
         auto const part = static_cast<std::uint64_t>(1 + i % 24);
-        daemon.send("/once/1", part, shared_tokens, own_tokens);
+        daemon.send("/once/1", part, shared_tokens, unshared_tokens);
         for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
         {
             places[part].insert(call.instance);
@@ -79,7 +81,7 @@
     int handed_over = 0;
     for (std::uint64_t part = 1; part <= 40; ++part)
     {
-        daemon.send("/once/1", part, shared_tokens, own_tokens);
+        daemon.send("/once/1", part, shared_tokens, unshared_tokens);
         for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
         {
             if (call.stage == relay_stage::prefill)
@@ -105,7 +107,7 @@
     outbox out;
     for (int i = 0; i < 60 && out.relay_answers.empty(); ++i)
     {
-        daemon.send("/once/1", 1, shared_tokens, own_tokens);
+        daemon.send("/once/1", 1, shared_tokens, unshared_tokens);
         out = daemon.advance(milliseconds(10));
     }
     ASSERT_FALSE(out.relay_answers.empty());
@@ -115,8 +117,8 @@
     EXPECT_TRUE(out.relay_answers.front().retry_after.has_value());
 }
 
-// Side by side on one engine, all of a burst of long prompts are late, and
-// their memory displaces the shared parts.
+// A burst of long prompts that run concurrently on one engine makes all of them
+// late, and their KV caches evict the shared parts.
 TEST(relay_placement, long_prompts_wait_for_their_engine_and_short_ones_do_not)
 {
     relay_fixture daemon;
@@ -124,7 +126,7 @@
     std::size_t long_calls = 0;
     for (int i = 0; i < 10; ++i)
     {
-        daemon.send("/once/1", 1, shared_tokens, own_tokens);
+        daemon.send("/once/1", 1, shared_tokens, unshared_tokens);
         long_calls += daemon.advance(milliseconds(5)).relay_calls.size();
     }
     EXPECT_LE(long_calls, 4U);
@@ -136,23 +138,23 @@
 {
     relay_fixture daemon;
     daemon.list_endpoints(4);
-    int late_calls = 0;
+    int failing_endpoint_calls = 0;
     for (int i = 0; i < 200; ++i)
     {
         daemon.send("/look/1");
         for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
         {
             bool const bad = call.instance == "desk-1";
-            late_calls += bad && i >= 150 ? 1 : 0;
+            failing_endpoint_calls += bad && i >= 150 ? 1 : 0;
             daemon.reply_head(call.attempt, bad ? 500 : 200);
             daemon.reply_ends(call.attempt, relay_event_kind::finished);
         }
     }
-    EXPECT_LE(late_calls, 6);
+    EXPECT_LE(failing_endpoint_calls, 6);
 }
 
-/// Bounds the pauses of the streams of `models`.
-void bound_pauses(relay_fixture &daemon, duration bound)
+/// Sets the target pause between stream events for all routes.
+void set_target_pause(relay_fixture &daemon, duration bound)
 {
     auto routing = *daemon.state.relay.routing;
     for (auto &route : routing.routes)
@@ -173,14 +175,14 @@
     return out.relay_calls.empty() ? relay_call{} : out.relay_calls.front();
 }
 
-void next_event(relay_fixture &daemon, attempt_number stream, int event)
+void send_event(relay_fixture &daemon, attempt_number stream, int event)
 {
     daemon.reply_bytes(stream,
                        "id: " + std::to_string(event) + "\ndata: a\n\n");
 }
 
-/// Answers a call, and the one that follows a prompt that was read apart.
-void answer_whole(relay_fixture &daemon, relay_call call)
+/// Completes a call, and the decode call that follows it after a prefill call.
+void complete_call(relay_fixture &daemon, relay_call call)
 {
     if (call.stage == relay_stage::prefill)
     {
@@ -188,16 +190,18 @@
         call = daemon.advance(milliseconds(1)).relay_calls.at(0);
     }
     daemon.reply_head(call.attempt, 200);
-    next_event(daemon, call.attempt, 1);
+    send_event(daemon, call.attempt, 1);
     daemon.reply_ends(call.attempt, relay_event_kind::finished);
     daemon.advance(milliseconds(1));
 }
 
-/// Opens streams at all engines in decode role, whose events come with pauses,
-/// and sends short prompts meanwhile.
+/// Opens streams at all engines in decode role and sends short prompts
+/// meanwhile.
 ///
-/// @return part of these prompts that engines in prefill role read
-double part_read_apart(duration pause, duration bound)
+/// @param pause time between the events of the streams
+/// @param bound target pause of the routes
+/// @return fraction of the short prompts that engines in prefill role prefill
+double separate_prefill_fraction(duration pause, duration bound)
 {
     relay_fixture daemon;
     daemon.list_engines(7, engine_role::decode);
@@ -209,43 +213,47 @@
         engines.insert(call.instance);
         streams.push_back(call.attempt);
         daemon.reply_head(streams.back(), 200);
-        next_event(daemon, streams.back(), 1);
+        send_event(daemon, streams.back(), 1);
     }
     daemon.list_engines(5, engine_role::prefill);
-    bound_pauses(daemon, bound);
-    int apart = 0;
+    set_target_pause(daemon, bound);
+    int separate = 0;
     for (int event = 2; event < 12; ++event)
     {
         daemon.advance(pause);
         std::ranges::for_each(streams, [&](attempt_number stream)
-                              { next_event(daemon, stream, event); });
+                              { send_event(daemon, stream, event); });
         daemon.advance(milliseconds(1));
         for (int i = 0; i < 4; ++i)
         {
             auto const call = send_short(daemon, 99);
-            apart += call.stage == relay_stage::prefill ? 1 : 0;
-            answer_whole(daemon, call);
+            separate += call.stage == relay_stage::prefill ? 1 : 0;
+            complete_call(daemon, call);
         }
     }
-    return apart / 40.0;
+    return separate / 40.0;
 }
 
-// The load of further/apcm-retornos: bursts of short prompts fill the steps of
-// the decode engines, whose streams then pause for 240 ms and are all late.
+// In the load further/apcm-retornos, bursts of short prompts fill the batch
+// steps of the decode engines. Without separate prefill, their streams pause
+// for 240 ms and are all late.
 TEST(relay_placement, short_prompts_are_read_apart_where_streams_pause)
 {
-    EXPECT_GE(part_read_apart(milliseconds(240), milliseconds(150)), 0.9);
-    EXPECT_EQ(part_read_apart(milliseconds(40), milliseconds(150)), 0);
-    EXPECT_EQ(part_read_apart(milliseconds(240), seconds(4)), 0);
+    EXPECT_GE(separate_prefill_fraction(milliseconds(240), milliseconds(150)),
+              0.9);
+    EXPECT_EQ(separate_prefill_fraction(milliseconds(40), milliseconds(150)),
+              0);
+    EXPECT_EQ(separate_prefill_fraction(milliseconds(240), seconds(4)), 0);
 }
 
-// Waiting for the whole deadline holds a caller who has left long before it.
+// Callers leave a stream that does not begin long before the deadline, so a
+// request that waits until the deadline is already abandoned.
 TEST(relay_placement, a_stream_is_refused_when_it_would_begin_after_its_caller)
 {
     relay_fixture daemon;
     daemon.list_engines(1, engine_role::decode);
     daemon.state.relay.instances.find("decode-1")->unread_tokens = 110000;
-    daemon.send("/once/1", 1, 0, own_tokens);
+    daemon.send("/once/1", 1, 0, unshared_tokens);
     auto const out = daemon.advance(milliseconds(10));
     ASSERT_EQ(out.relay_answers.size(), 1U);
     EXPECT_EQ(out.relay_answers.front().code,
@@ -253,7 +261,7 @@
     EXPECT_TRUE(out.relay_answers.front().retry_after.has_value());
 }
 
-/// Adds daemons, so that this one's turn to read a cache comes rarely.
+/// Adds 60 daemons, so that this one stops reading engine caches.
 void join_large_fleet(relay_fixture &daemon)
 {
     for (int i = 0; i < 60; ++i)
@@ -263,9 +271,9 @@
     }
 }
 
-// The load of the grown and large deployments: a daemon sees few requests for
-// each shared part, and its view of a cache would be older than the part's life
-// there.
+// In large deployments a daemon sees few requests for each shared part, and
+// parts are evicted before the daemon's view of a cache is refreshed. It then
+// assumes that the top-ranked engines cache a part.
 TEST(relay_placement, a_daemon_of_a_large_fleet_counts_on_the_homes_of_parts)
 {
     relay_fixture daemon;
@@ -277,13 +285,13 @@
         std::set<std::string> places;
         for (int i = 0; i < 6; ++i)
         {
-            daemon.send("/once/1", part, shared_tokens, own_tokens);
+            daemon.send("/once/1", part, shared_tokens, unshared_tokens);
             auto const out = daemon.advance(milliseconds(10));
             ASSERT_EQ(out.relay_calls.size(), 1U);
             auto const &call = out.relay_calls.front();
             EXPECT_EQ(
                 daemon.state.relay.requests.find(call.attempt)->unread_tokens,
-                own_tokens);
+                unshared_tokens);
             places.insert(call.instance);
             daemon.reply_head(call.attempt, 200);
             daemon.reply_ends(call.attempt, relay_event_kind::finished);
@@ -293,8 +301,8 @@
     }
 }
 
-// The cost of a choice at 320 engines: a choice that looks at each of them took
-// 5% of a core of each daemon on the large deployment.
+// Comparing all 320 engines for each choice took 5% of a core of each daemon on
+// the large deployment.
 TEST(relay_placement, a_choice_among_hundreds_of_engines_compares_a_few)
 {
     relay_fixture daemon;
@@ -304,7 +312,7 @@
     int handed_over = 0;
     for (std::uint64_t part = 1; part <= 20; ++part)
     {
-        daemon.send("/once/1", part, shared_tokens, own_tokens);
+        daemon.send("/once/1", part, shared_tokens, unshared_tokens);
         auto const out = daemon.advance(milliseconds(10));
         ASSERT_EQ(out.relay_calls.size(), 1U);
         auto const &call = out.relay_calls.front();
@@ -324,27 +332,29 @@
     EXPECT_GT(handed_over, 0);
 }
 
-// A home that is busy must not hold prompts up while others can copy its part.
+// Prompts must not wait for a busy engine that caches their shared part while
+// another engine can copy the part from it.
 TEST(relay_placement, a_busy_home_lends_its_part_in_a_large_fleet)
 {
     relay_fixture daemon;
     join_large_fleet(daemon);
     daemon.list_engines(40, engine_role::decode);
-    std::set<std::string> homes;
+    std::set<std::string> chosen_engines;
     for (int i = 0; i < 2; ++i)
     {
-        daemon.send("/once/1", 5, shared_tokens, own_tokens);
+        daemon.send("/once/1", 5, shared_tokens, unshared_tokens);
         for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
         {
-            homes.insert(call.instance);
-            auto &home = *daemon.state.relay.instances.find(call.instance);
-            home.others_unread_tokens = 60000;
+            chosen_engines.insert(call.instance);
+            auto &chosen_engine =
+                *daemon.state.relay.instances.find(call.instance);
+            chosen_engine.others_unread_tokens = 60000;
         }
     }
-    daemon.send("/once/1", 5, shared_tokens, own_tokens);
+    daemon.send("/once/1", 5, shared_tokens, unshared_tokens);
     auto const out = daemon.advance(milliseconds(10));
     ASSERT_EQ(out.relay_calls.size(), 1U);
-    EXPECT_FALSE(homes.contains(out.relay_calls.front().instance));
+    EXPECT_FALSE(chosen_engines.contains(out.relay_calls.front().instance));
     EXPECT_FALSE(out.relay_calls.front().prefix_source_address.empty());
 }
 
--- a/test/correctness/relay_retry_test.cpp
+++ b/test/correctness/relay_retry_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a request that runs twice, a refusal that is not true, and a
-// stream whose events are lost or repeated when its engine fails.
+// Guards against requests that run twice, requests reported as not run that may
+// have run, and stream events that are lost or repeated when an engine fails.
 #include "relay_fixture.hpp"
 
 #include <gtest/gtest.h>
@@ -68,8 +68,8 @@
     EXPECT_TRUE(out.relay_answers.front().retry_after.has_value());
 }
 
-// An engine's own 503 does not state that the request did not run; passed on,
-// it would.
+// A 503 from an instance does not prove that the request did not run, but a
+// caller would take it so if it were forwarded.
 TEST(relay_retry, a_503_without_the_statement_is_not_passed_on)
 {
     relay_fixture daemon;
@@ -94,7 +94,7 @@
     auto const second = only_call(step(daemon));
     EXPECT_NE(second.instance, first.instance);
     daemon.reply_ends(second.attempt, relay_event_kind::failed_after_send);
-    // The route allows two instances.
+    // The route allows two attempts.
     EXPECT_TRUE(step(daemon).relay_calls.empty());
 }
 
--- a/test/correctness/relay_stop_test.cpp
+++ b/test/correctness/relay_stop_test.cpp
@@ -1,5 +1,5 @@
-// Guards against requests that are lost in a planned stop: those that are open
-// must end, and those that cannot end in time must be refused as not run.
+// Guards against requests that are lost in a graceful shutdown: open requests
+// must finish, and those that cannot finish in time must be refused as not run.
 #include "relay_fixture.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,8 @@
     EXPECT_TRUE(end.stop_ready);
 }
 
-// A request that was taken 6 s after the signal was cut at the exit.
+// A request admitted 6 s after the shutdown signal was cut off when the process
+// exited.
 TEST(relay_stop, late_requests_are_refused_as_not_run)
 {
     relay_fixture daemon;
