--- a/src/apply_statement.cpp
+++ b/src/apply_statement.cpp
@@ -19,9 +19,8 @@
     return make_status(result_code::invalid_change, message);
 }
 
-/// Finds an item by name.
 template <class Item>
-Item *find_named(std::vector<Item> &items, std::string const &name)
+Item *find_by_name(std::vector<Item> &items, std::string const &name)
 {
     auto const found = std::ranges::find(items, name, &Item::name);
     return found == items.end() ? nullptr : &*found;
@@ -31,8 +30,8 @@
                           std::string const &name)
 {
     auto const found = std::ranges::find_if(
-        config.classes, [&](request_class const &kind)
-        { return kind.name == name && kind.service == service; });
+        config.classes, [&](request_class const &item)
+        { return item.name == name && item.service == service; });
     return found == config.classes.end() ? nullptr : &*found;
 }
 
@@ -41,7 +40,8 @@
     return !engine.draining && !engine.withdrawn;
 }
 
-/// @return true when no engine but `leaving` takes work of the service
+/// @return true if `leaving` is the only engine that accepts work for its
+///         service
 bool is_last_engine(configuration const &config,
                     engine_definition const &leaving)
 {
@@ -77,7 +77,7 @@
         return absl::OkStatus();
     }
     return refuse("engine \"" + engine.name +
-                  "\" is the last one that takes work of service \"" +
+                  "\" is the only one that accepts work for service \"" +
                   engine.service + "\"");
 }
 
@@ -86,17 +86,17 @@
     return address.substr(0, address.rfind(':'));
 }
 
-/// Makes one change in place.
-class change_maker
+/// Applies one change to a configuration in place.
+class change_applier
 {
 public:
-    explicit change_maker(configuration &config) : config_(config) {}
+    explicit change_applier(configuration &config) : config_(config) {}
 
     absl::Status operator()(create_service const &change)
     {
-        if (find_named(config_.services, change.name) != nullptr)
+        if (find_by_name(config_.services, change.name) != nullptr)
         {
-            return refuse("service \"" + change.name + "\" exists");
+            return refuse("service \"" + change.name + "\" already exists");
         }
         config_.services.push_back({change.name, change.plain, change.model});
         return absl::OkStatus();
@@ -104,7 +104,7 @@
 
     absl::Status operator()(drop_service const &change)
     {
-        if (find_named(config_.services, change.name) == nullptr)
+        if (find_by_name(config_.services, change.name) == nullptr)
         {
             return unknown("service", change.name);
         }
@@ -129,20 +129,20 @@
 
     absl::Status operator()(set_class const &change)
     {
-        if (find_named(config_.services, change.service) == nullptr)
+        if (find_by_name(config_.services, change.service) == nullptr)
         {
             return unknown("service", change.service);
         }
-        auto *kind = find_class(config_, change.service, change.name);
-        if (kind == nullptr)
+        auto *target = find_class(config_, change.service, change.name);
+        if (target == nullptr)
         {
-            kind = &config_.classes.emplace_back();
-            kind->name = change.name;
-            kind->service = change.service;
+            target = &config_.classes.emplace_back();
+            target->name = change.name;
+            target->service = change.service;
         }
         std::ranges::for_each(change.settings,
-                              [kind](class_setting const &setting)
-                              { set_field(*kind, setting); });
+                              [target](class_setting const &setting)
+                              { set_field(*target, setting); });
         return absl::OkStatus();
     }
 
@@ -153,16 +153,16 @@
             return unknown("class", change.name);
         }
         std::erase_if(config_.classes,
-                      [&change](request_class const &kind) {
-                          return kind.name == change.name &&
-                                 kind.service == change.service;
+                      [&change](request_class const &item) {
+                          return item.name == change.name &&
+                                 item.service == change.service;
                       });
         return absl::OkStatus();
     }
 
     absl::Status operator()(assign_engine const &change)
     {
-        auto const *service = find_named(config_.services, change.service);
+        auto const *service = find_by_name(config_.services, change.service);
         if (service == nullptr)
         {
             return unknown("service", change.service);
@@ -170,13 +170,14 @@
         if (service->plain)
         {
             return refuse("service \"" + change.service +
-                          "\" is plain and takes no engines");
+                          "\" is plain and cannot have engines");
         }
-        auto *engine = find_named(config_.engines, change.engine);
+        auto *engine = find_by_name(config_.engines, change.engine);
         if (engine == nullptr && change.address.empty())
         {
-            return refuse("engine \"" + change.engine +
-                          "\" is new; say \"at ADDRESS in DATA_CENTRE\"");
+            return refuse(
+                "engine \"" + change.engine +
+                "\" is not configured; add \"at ADDRESS in DATA_CENTRE\"");
         }
         if (engine != nullptr && engine->service != change.service)
         {
@@ -192,14 +193,14 @@
 
     absl::Status operator()(release_engine const &change)
     {
-        return with_engine(change.engine, true,
+        return edit_engine(change.engine, true,
                            [](engine_definition &engine)
                            { engine.service.clear(); });
     }
 
     absl::Status operator()(set_limit const &change)
     {
-        auto *caller = find_named(config_.callers, change.caller);
+        auto *caller = find_by_name(config_.callers, change.caller);
         if (caller == nullptr)
         {
             return unknown("caller", change.caller);
@@ -214,7 +215,7 @@
         switch (change.target)
         {
         case drain_target::engine:
-            return with_engine(change.name, change.draining,
+            return edit_engine(change.name, change.draining,
                                [&change](engine_definition &engine)
                                { engine.draining = change.draining; });
         case drain_target::endpoint:
@@ -227,7 +228,7 @@
 
     absl::Status operator()(set_withdrawn const &change)
     {
-        return with_engine(change.engine, change.withdrawn,
+        return edit_engine(change.engine, change.withdrawn,
                            [&change](engine_definition &engine)
                            { engine.withdrawn = change.withdrawn; });
     }
@@ -239,31 +240,31 @@
         return refuse("no " + kind + " \"" + name + "\"");
     }
 
-    static void set_field(request_class &kind, class_setting const &setting)
+    static void set_field(request_class &target, class_setting const &setting)
     {
-        auto const whole = static_cast<std::int64_t>(setting.value);
+        auto const integer = static_cast<std::int64_t>(setting.value);
         switch (setting.field)
         {
         case class_field::priority:
-            kind.priority = static_cast<int>(whole);
+            target.priority = static_cast<int>(integer);
             return;
         case class_field::first_token:
-            kind.first_token_deadline = duration(whole);
+            target.first_token_deadline = duration(integer);
             return;
         case class_field::token_interval:
-            kind.token_interval_deadline = duration(whole);
+            target.token_interval_deadline = duration(integer);
             return;
         case class_field::finish:
-            kind.finish_deadline = duration(whole);
+            target.finish_deadline = duration(integer);
             return;
         case class_field::weight:
-            kind.weight = setting.value;
+            target.weight = setting.value;
             return;
         case class_field::may_wait:
-            kind.may_wait = whole != 0;
+            target.may_wait = integer != 0;
             return;
         case class_field::expected_output:
-            kind.expected_output_tokens = static_cast<int>(whole);
+            target.expected_output_tokens = static_cast<int>(integer);
             return;
         }
     }
@@ -290,17 +291,23 @@
         }
     }
 
-    /// @param leaves true when the change takes the engine from its service
+    /// Edits a configured engine.
+    ///
+    /// @param stops_work true if the engine accepts no more work of its service
+    ///        after the edit
+    /// @return `invalid_change` for an unknown engine and, with `stops_work`,
+    ///         for the last engine of a service
     template <class Edit>
-    absl::Status with_engine(std::string const &name, bool leaves, Edit edit)
+    absl::Status edit_engine(std::string const &name, bool stops_work,
+                             Edit edit)
     {
-        auto *engine = find_named(config_.engines, name);
+        auto *engine = find_by_name(config_.engines, name);
         if (engine == nullptr)
         {
             return unknown("engine", name);
         }
         auto status =
-            leaves ? check_not_last(config_, *engine) : absl::OkStatus();
+            stops_work ? check_not_last(config_, *engine) : absl::OkStatus();
         if (status.ok())
         {
             edit(*engine);
@@ -310,16 +317,17 @@
 
     absl::Status drain_endpoint(set_drain const &change)
     {
-        auto *endpoint = find_named(config_.endpoints, change.name);
+        auto *endpoint = find_by_name(config_.endpoints, change.name);
         if (endpoint == nullptr)
         {
             return unknown("endpoint", change.name);
         }
         if (change.draining && is_last_endpoint(config_, *endpoint))
         {
-            return refuse("endpoint \"" + change.name +
-                          "\" is the last one of service \"" +
-                          endpoint->service + "\"");
+            return refuse(
+                "endpoint \"" + change.name +
+                "\" is the only one that accepts work for service \"" +
+                endpoint->service + "\"");
         }
         endpoint->draining = change.draining;
         return absl::OkStatus();
@@ -327,17 +335,17 @@
 
     absl::Status drain_host(set_drain const &change)
     {
-        std::vector<set_drain> parts;
-        collect_on_host(config_.engines, drain_target::engine, change, parts);
+        std::vector<set_drain> drains;
+        collect_on_host(config_.engines, drain_target::engine, change, drains);
         collect_on_host(config_.endpoints, drain_target::endpoint, change,
-                        parts);
-        if (parts.empty())
+                        drains);
+        if (drains.empty())
         {
             return unknown("engine or endpoint on host", change.name);
         }
-        for (auto const &part : parts)
+        for (auto const &drain : drains)
         {
-            auto status = (*this)(part);
+            auto status = (*this)(drain);
             if (!status.ok())
             {
                 return status;
@@ -349,13 +357,13 @@
     template <class Item>
     static void collect_on_host(std::vector<Item> const &items,
                                 drain_target kind, set_drain const &change,
-                                std::vector<set_drain> &parts)
+                                std::vector<set_drain> &drains)
     {
         for (auto const &item : items)
         {
             if (host_of(item.address) == change.name)
             {
-                parts.push_back({kind, item.name, change.draining});
+                drains.push_back({kind, item.name, change.draining});
             }
         }
     }
@@ -363,20 +371,20 @@
     configuration &config_;
 };
 
-/// Bounds of the fields that `class_setting` leaves open.
+/// Checks the bounds of integer fields, which `class_setting` holds as double.
 absl::Status check_values(configuration_change const &change)
 {
-    auto const *kind = std::get_if<set_class>(&change);
-    if (kind == nullptr)
+    auto const *class_change = std::get_if<set_class>(&change);
+    if (class_change == nullptr)
     {
         return absl::OkStatus();
     }
-    constexpr double largest_int = 1e6;
-    for (auto const &setting : kind->settings)
+    constexpr double max_integer = 1e6;
+    for (auto const &setting : class_change->settings)
     {
-        bool const counted = setting.field == class_field::priority ||
-                             setting.field == class_field::expected_output;
-        if (counted && setting.value > largest_int)
+        bool const is_integer = setting.field == class_field::priority ||
+                                setting.field == class_field::expected_output;
+        if (is_integer && setting.value > max_integer)
         {
             return refuse("priority and expected_output are at most 1000000");
         }
@@ -391,13 +399,13 @@
                 std::vector<configuration_change> const &changes)
 {
     auto config = base;
-    change_maker maker(config);
+    change_applier applier(config);
     for (auto const &change : changes)
     {
         auto status = check_values(change);
         if (status.ok())
         {
-            status = std::visit(maker, change);
+            status = std::visit(applier, change);
         }
         if (!status.ok())
         {
--- a/src/apply_statement.hpp
+++ b/src/apply_statement.hpp
@@ -11,12 +11,12 @@
 namespace agateledge
 {
 
-/// Applies all changes of a transaction or none.
+/// Applies the changes of a transaction; either all of them or none.
 ///
-/// @param base configuration that the changes start from
-/// @param changes changes in order; each sees the effect of those before it
+/// @param base configuration that the changes are applied to
+/// @param changes changes in order; each one sees the result of the previous
 /// @return the changed configuration with the revision of `base`, or
-///         `invalid_change` with the change that cannot be made and why
+///         `invalid_change` with the first change that fails and the reason
 absl::StatusOr<configuration>
 apply_statement(configuration const &base,
                 std::vector<configuration_change> const &changes);
--- a/src/describe_effects.cpp
+++ b/src/describe_effects.cpp
@@ -37,7 +37,7 @@
     return std::string(kind) + " " + name + ": " + std::string(what);
 }
 
-/// Lists items that are new, gone or different.
+/// Appends the items that were added, removed or changed, compared by name.
 template <class Item>
 void compare_items(std::string_view kind, std::vector<Item> const &before,
                    std::vector<Item> const &after, Json::Value &changes)
@@ -63,7 +63,8 @@
     }
 }
 
-bool takes_work_for(engine_definition const &engine, std::string const &service)
+bool accepts_work_for(engine_definition const &engine,
+                      std::string const &service)
 {
     return engine.service == service && !engine.draining && !engine.withdrawn;
 }
@@ -75,15 +76,15 @@
     {
         auto const after = std::ranges::find(next.engines, engine.name,
                                              &engine_definition::name);
-        bool const stays = after != next.engines.end() &&
-                           takes_work_for(*after, engine.service);
+        bool const remains = after != next.engines.end() &&
+                             accepts_work_for(*after, engine.service);
         auto const open = open_requests(w, engine.name);
-        if (!stays && takes_work_for(engine, engine.service))
+        if (!remains && accepts_work_for(engine, engine.service))
         {
             cuts.append(describe(
                 "engine", engine.name,
-                "takes no new work of service " + engine.service + "; " +
-                    std::to_string(open) + " open requests run to their end"));
+                "accepts no new work of service " + engine.service + "; " +
+                    std::to_string(open) + " open requests run to completion"));
         }
     }
 }
@@ -114,14 +115,17 @@
 void list_class_cuts(world const &w, configuration const &next,
                      Json::Value &cuts)
 {
-    for (auto const &kind : w.config.classes)
+    for (auto const &current : w.config.classes)
     {
-        bool const stays = std::ranges::any_of(
-            next.classes, [&kind](request_class const &item)
-            { return item.name == kind.name && item.service == kind.service; });
-        if (!stays)
+        bool const remains =
+            std::ranges::any_of(next.classes,
+                                [&current](request_class const &item) {
+                                    return item.name == current.name &&
+                                           item.service == current.service;
+                                });
+        if (!remains)
         {
-            cuts.append(describe("class", kind.name,
+            cuts.append(describe("class", current.name,
                                  "new requests are refused; open ones keep "
                                  "the class that they arrived with"));
         }
@@ -156,7 +160,8 @@
     out["cuts"].append(describe(
         "engine", order.engine,
         "drained first (" + std::to_string(open_requests(w, order.engine)) +
-            " open requests run to their end), then away for some seconds"));
+            " open requests run to completion), then unavailable for some "
+            "seconds"));
     return out;
 }
 
