--- a/src/answer_operators.cpp
+++ b/src/answer_operators.cpp
@@ -26,8 +26,8 @@
 namespace
 {
 
-constexpr unsigned default_history = 20;
-constexpr unsigned max_history = 200;
+constexpr unsigned default_history_rows = 20;
+constexpr unsigned max_history_rows = 200;
 
 void reply(world &w, operator_call_number call, result_code code,
            std::string text)
@@ -40,7 +40,8 @@
     reply(w, call, code_of(status), std::string(status.message()));
 }
 
-/// Adds who answered, from which revision and whether others were left out.
+/// Replies with `body`, to which it adds the name of this daemon, the revision
+/// in force and, unless `complete`, the daemons that were not asked.
 void answer(world &w, operator_call_number call, Json::Value body,
             bool complete)
 {
@@ -82,15 +83,16 @@
     answer(w, call, std::move(body), result.complete);
 }
 
-void read_rows(world &w, operator_request const &request, statement parsed,
-               table_call call)
+/// Starts a call to the table service; `parsed` is continued with its rows.
+void start_table_read(world &w, operator_request const &request,
+                      statement parsed, table_call call)
 {
     auto const operation =
         call_table(w, table_owner::operators, std::move(call));
-    w.queries.wait(operation, {request, std::move(parsed)});
+    w.queries.add_pending(operation, {request, std::move(parsed)});
 }
 
-table_call call_for(query_target target)
+table_call make_scan_call(query_target target)
 {
     table_call call;
     call.prefix = target == query_target::leases ? "lease/" : "order/";
@@ -98,12 +100,14 @@
     return call;
 }
 
-/// Keys of the last revisions; a read by prefix would give the first ones.
-table_call read_revisions(world const &w, unsigned limit)
+/// @return a call that reads the latest revisions by their keys; a read by
+/// prefix
+///         would return the earliest ones
+table_call make_revisions_call(world const &w, unsigned limit)
 {
     table_call call;
     auto revision = w.config.revision.value();
-    for (; revision > 0 && call.keys.size() < std::min(limit, max_history);
+    for (; revision > 0 && call.keys.size() < std::min(limit, max_history_rows);
          --revision)
     {
         call.keys.push_back(revision_key(revision_number(revision)));
@@ -111,7 +115,7 @@
     return call;
 }
 
-engine_order order_of(world const &w, order_change const &change)
+engine_order make_engine_order(world const &w, order_change const &change)
 {
     engine_order order;
     if (auto const *role = std::get_if<change_role>(&change))
@@ -139,7 +143,7 @@
     return order;
 }
 
-/// Carries out one statement of one operator.
+/// Executes one statement of one operator.
 class statement_runner
 {
 public:
@@ -152,12 +156,13 @@
     {
         if (query.target == query_target::revisions)
         {
-            read_rows(w_, request_, query, read_revisions(w_, max_history));
+            start_table_read(w_, request_, query,
+                             make_revisions_call(w_, max_history_rows));
             return;
         }
         if (reads_table_service(query.target))
         {
-            read_rows(w_, request_, query, call_for(query.target));
+            start_table_read(w_, request_, query, make_scan_call(query.target));
             return;
         }
         answer_rows(w_, request_.call, query.target, query_rows(w_, query));
@@ -189,7 +194,7 @@
 
     void operator()(order_statement const &statement)
     {
-        auto const order = order_of(w_, statement.order);
+        auto const order = make_engine_order(w_, statement.order);
         auto const index = w_.engines.find(order.engine);
         if (!index || !w_.engines.at(*index).configured)
         {
@@ -226,8 +231,9 @@
     {
         query_statement query;
         query.target = query_target::revisions;
-        query.limit = history.limit.value_or(default_history);
-        read_rows(w_, request_, query, read_revisions(w_, *query.limit));
+        query.limit = history.limit.value_or(default_history_rows);
+        start_table_read(w_, request_, query,
+                         make_revisions_call(w_, *query.limit));
     }
 
     void operator()(undo_statement const &undo)
@@ -242,11 +248,11 @@
         }
         table_call call;
         call.keys.push_back(revision_key(revision_number(current - 1)));
-        read_rows(w_, request_, undo, std::move(call));
+        start_table_read(w_, request_, undo, std::move(call));
     }
 
-    /// Continues an `undo` with the document of the earlier revision.
-    void undo_to(undo_statement const &undo, configuration earlier)
+    /// Completes an `undo` with the configuration of the earlier revision.
+    void complete_undo(undo_statement const &undo, configuration earlier)
     {
         if (undo.revision != w_.config.revision.value())
         {
@@ -303,7 +309,7 @@
           "the table service has no document of the earlier revision");
 }
 
-/// Reads the sections of the earlier revision.
+/// Starts the read of the sections that the earlier revision refers to.
 void read_sections(world &w, pending_statement pending, table_row const &row)
 {
     auto index = configuration_index_from_json(row.value);
@@ -318,8 +324,9 @@
         call.keys.push_back(section_key(digest));
     }
     pending.index = *std::move(index);
-    w.queries.wait(call_table(w, table_owner::operators, std::move(call)),
-                   std::move(pending));
+    w.queries.add_pending(
+        call_table(w, table_owner::operators, std::move(call)),
+        std::move(pending));
 }
 
 void continue_undo(world &w, pending_statement const &pending,
@@ -344,16 +351,16 @@
         return;
     }
     statement_runner(w, pending.request)
-        .undo_to(std::get<undo_statement>(pending.parsed), *earlier);
+        .complete_undo(std::get<undo_statement>(pending.parsed), *earlier);
 }
 
-void resolve(world &w, table_reply const &result)
+void handle_table_reply(world &w, table_reply const &result)
 {
     if (result.owner != table_owner::operators)
     {
         return;
     }
-    auto const pending = w.queries.take(result.operation);
+    auto const pending = w.queries.take_pending(result.operation);
     if (!pending)
     {
         return;
@@ -384,10 +391,10 @@
     if (!w.in.membership_reports.empty())
     {
         w.queries.hosts = w.in.membership_reports.back().hosts;
-        w.queries.hosts_at = w.now;
+        w.queries.hosts_received_at = w.now;
     }
     std::ranges::for_each(w.in.table_replies, [&w](table_reply const &result)
-                          { resolve(w, result); });
+                          { handle_table_reply(w, result); });
     std::ranges::for_each(w.in.operator_requests,
                           [&w](operator_request const &request)
                           { answer_request(w, request); });
--- a/src/answer_operators.hpp
+++ b/src/answer_operators.hpp
@@ -6,9 +6,10 @@
 
 struct world;
 
-/// Parses and carries out the statements of operators, and answers those that
-/// waited for the table service. Each answer names this daemon, its age and
-/// whether it is complete; a change is answered once its outcome is known.
+/// Executes the operator statements received in this tick, and continues those
+/// whose calls to the table service have returned. Each answer states this
+/// daemon's name, the age of the data and whether the answer is complete. A
+/// change is answered once its outcome is known.
 void answer_operators(world &w);
 
 } // namespace agateledge
--- a/src/query_columns.cpp
+++ b/src/query_columns.cpp
@@ -11,16 +11,16 @@
 namespace
 {
 
-struct target_row
+struct target_columns
 {
     query_target target;
     std::string_view name;
     std::vector<std::string_view> columns;
 };
 
-std::vector<target_row> const &rows()
+std::vector<target_columns> const &target_table()
 {
-    static std::vector<target_row> const table{
+    static std::vector<target_columns> const table{
         {query_target::services,
          "services",
          {"name", "plain", "model", "classes", "engines", "endpoints"}},
@@ -62,11 +62,12 @@
     return table;
 }
 
-target_row const &row_of(query_target target)
+target_columns const &find_target(query_target target)
 {
-    auto const found = std::ranges::find(rows(), target, &target_row::target);
-    internal_assert(found != rows().end(), "no columns for query target ",
-                    static_cast<int>(target));
+    auto const found =
+        std::ranges::find(target_table(), target, &target_columns::target);
+    internal_assert(found != target_table().end(),
+                    "no columns for query target ", static_cast<int>(target));
     return *found;
 }
 
@@ -74,12 +75,12 @@
 
 std::string_view name_of(query_target target)
 {
-    return row_of(target).name;
+    return find_target(target).name;
 }
 
 std::vector<std::string_view> const &columns_of(query_target target)
 {
-    return row_of(target).columns;
+    return find_target(target).columns;
 }
 
 std::vector<query_target> const &query_targets()
@@ -87,8 +88,8 @@
     static std::vector<query_target> const targets = []
     {
         std::vector<query_target> all;
-        std::ranges::transform(rows(), std::back_inserter(all),
-                               &target_row::target);
+        std::ranges::transform(target_table(), std::back_inserter(all),
+                               &target_columns::target);
         return all;
     }();
     return targets;
--- a/src/query_columns.hpp
+++ b/src/query_columns.hpp
@@ -9,10 +9,10 @@
 namespace agateledge
 {
 
-/// @return the word that names `target` in a query, for example "engines"
+/// @return the word for `target` in a query, for example "engines"
 std::string_view name_of(query_target target);
 
-/// @return the columns of `target`, in the order in which rows have them
+/// @return the columns of `target`, in the order of the cells of a row
 std::vector<std::string_view> const &columns_of(query_target target);
 
 /// @return all targets
--- a/src/query_rows.cpp
+++ b/src/query_rows.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-using cells = std::vector<Json::Value>;
+using row_cells = std::vector<Json::Value>;
 
 Json::Value number(double value)
 {
@@ -48,9 +48,9 @@
     return std::ranges::count(items, service, &Item::service);
 }
 
-std::vector<cells> service_rows(world const &w)
+std::vector<row_cells> service_rows(world const &w)
 {
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     for (auto const &item : w.config.services)
     {
         rows.push_back(
@@ -62,9 +62,9 @@
     return rows;
 }
 
-std::vector<cells> class_rows(world const &w)
+std::vector<row_cells> class_rows(world const &w)
 {
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     for (auto const &item : w.config.classes)
     {
         rows.push_back({item.name, item.service, item.priority,
@@ -97,7 +97,7 @@
     return engine.takes_work() ? "ready" : "not ready";
 }
 
-cells engine_row(world const &w, engine_state const &engine)
+row_cells engine_row(world const &w, engine_state const &engine)
 {
     auto const &item = engine.definition;
     auto const &report = engine.report;
@@ -116,9 +116,9 @@
             report ? in_milliseconds(w.now - engine.report_measured_at) : none};
 }
 
-std::vector<cells> engine_rows(world const &w)
+std::vector<row_cells> engine_rows(world const &w)
 {
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     for (auto const &engine : w.engines.all())
     {
         if (engine.configured)
@@ -129,7 +129,7 @@
     return rows;
 }
 
-std::optional<duration> oldest_report(world const &w)
+std::optional<duration> oldest_report_age(world const &w)
 {
     std::optional<duration> oldest;
     for (auto const &engine : w.engines.all())
@@ -143,9 +143,9 @@
     return oldest;
 }
 
-std::vector<cells> endpoint_rows(world const &w)
+std::vector<row_cells> endpoint_rows(world const &w)
 {
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     for (auto const &endpoint : w.endpoints.all())
     {
         auto const &item = endpoint.definition;
@@ -162,7 +162,7 @@
     return rows;
 }
 
-std::vector<cells> model_rows(world const &w)
+std::vector<row_cells> model_rows(world const &w)
 {
     using key = std::tuple<std::string, std::string, std::string>;
     std::map<key, std::pair<int, int>> counts;
@@ -180,7 +180,7 @@
             entry.second += engine.takes_work() ? 1 : 0;
         }
     }
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     rows.reserve(counts.size());
     for (auto const &[name, entry] : counts)
     {
@@ -190,7 +190,7 @@
     return rows;
 }
 
-std::vector<cells> role_rows(world const &w)
+std::vector<row_cells> role_rows(world const &w)
 {
     std::map<std::pair<std::string, engine_role>, std::pair<int, int>> counts;
     for (auto const &engine : w.engines.all())
@@ -202,7 +202,7 @@
             entry.second += engine.takes_work() ? 1 : 0;
         }
     }
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     rows.reserve(counts.size());
     for (auto const &[name, entry] : counts)
     {
@@ -212,9 +212,9 @@
     return rows;
 }
 
-std::vector<cells> host_rows(world const &w)
+std::vector<row_cells> host_rows(world const &w)
 {
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     for (auto const &host : w.queries.hosts)
     {
         rows.push_back({host.name, host.data_centre, host.address, host.leaving,
@@ -223,9 +223,9 @@
     return rows;
 }
 
-std::vector<cells> caller_rows(world const &w)
+std::vector<row_cells> caller_rows(world const &w)
 {
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     for (auto const &caller : w.config.callers)
     {
         rows.push_back({caller.name, caller.account, caller.requests_per_second,
@@ -260,14 +260,14 @@
                           : w.endpoints.at(*attempt.endpoint).definition.name;
 }
 
-std::vector<cells> request_rows(world const &w)
+std::vector<row_cells> request_rows(world const &w)
 {
     std::map<request_number, request_state const *> ordered;
     for (auto const &[number, state] : w.requests.all())
     {
         ordered.emplace(number, &state);
     }
-    std::vector<cells> rows;
+    std::vector<row_cells> rows;
     rows.reserve(ordered.size());
     for (auto const &[number, state] : ordered)
     {
@@ -292,19 +292,21 @@
     return parsed;
 }
 
-/// @return below 0, 0 or above 0
+/// Compares as numbers if both sides are numbers, else as text.
+///
+/// @return a negative number, 0 or a positive number
 int compare(Json::Value const &cell, std::string const &value)
 {
     auto const other = as_number(value);
     if (cell.isNumeric() && !cell.isBool() && other)
     {
-        auto const own = cell.asDouble();
-        return own < *other ? -1 : own > *other ? 1 : 0;
+        auto const cell_number = cell.asDouble();
+        return cell_number < *other ? -1 : cell_number > *other ? 1 : 0;
     }
     return cell.asString().compare(value);
 }
 
-bool holds(query_condition const &condition, Json::Value const &cell)
+bool matches(query_condition const &condition, Json::Value const &cell)
 {
     auto const order = compare(cell, condition.value);
     switch (condition.relation)
@@ -333,7 +335,7 @@
     return std::ranges::find(columns, column) - columns.begin();
 }
 
-bool comes_before(Json::Value const &left, Json::Value const &right)
+bool is_less(Json::Value const &left, Json::Value const &right)
 {
     if (left.isNumeric() && right.isNumeric())
     {
@@ -342,7 +344,7 @@
     return left.asString() < right.asString();
 }
 
-void sort_rows(query_statement const &query, std::vector<cells> &rows)
+void sort_rows(query_statement const &query, std::vector<row_cells> &rows)
 {
     if (!query.order)
     {
@@ -351,22 +353,22 @@
     auto const column = column_index(query.target, query.order->column);
     std::ranges::stable_sort(
         rows,
-        [&](cells const &left, cells const &right)
+        [&](row_cells const &left, row_cells const &right)
         {
             return query.order->descending
-                       ? comes_before(right[column], left[column])
-                       : comes_before(left[column], right[column]);
+                       ? is_less(right[column], left[column])
+                       : is_less(left[column], right[column]);
         });
 }
 
-/// Keeps the rows that the query asks for, in its order and limit.
+/// Filters, sorts and truncates the rows as the query asks.
 void select_rows(query_statement const &query, query_result &result)
 {
     for (auto const &condition : query.conditions)
     {
         auto const column = column_index(query.target, condition.column);
-        std::erase_if(result.rows, [&](cells const &row)
-                      { return !holds(condition, row[column]); });
+        std::erase_if(result.rows, [&](row_cells const &row)
+                      { return !matches(condition, row[column]); });
     }
     sort_rows(query, result.rows);
     result.matched = result.rows.size();
@@ -375,9 +377,9 @@
     result.rows.resize(std::min<std::size_t>(result.rows.size(), limit));
 }
 
-query_result all_rows(world const &w, query_target target)
+query_result unfiltered_rows(world const &w, query_target target)
 {
-    constexpr duration fresh{};
+    constexpr duration zero_age{};
     auto const &confirmed = w.config_sync.confirmed_at;
     auto const configuration_age =
         confirmed ? std::optional<duration>(w.now - *confirmed) : std::nullopt;
@@ -390,17 +392,18 @@
     case query_target::callers:
         return {caller_rows(w), configuration_age, true};
     case query_target::engines:
-        return {engine_rows(w), oldest_report(w), false};
+        return {engine_rows(w), oldest_report_age(w), false};
     case query_target::endpoints:
-        return {endpoint_rows(w), fresh, false};
+        return {endpoint_rows(w), zero_age, false};
     case query_target::models:
-        return {model_rows(w), oldest_report(w), false};
+        return {model_rows(w), oldest_report_age(w), false};
     case query_target::roles:
-        return {role_rows(w), oldest_report(w), false};
+        return {role_rows(w), oldest_report_age(w), false};
     case query_target::hosts:
-        return {host_rows(w), duration(w.now - w.queries.hosts_at), true};
+        return {host_rows(w), duration(w.now - w.queries.hosts_received_at),
+                true};
     case query_target::requests:
-        return {request_rows(w), fresh, false};
+        return {request_rows(w), zero_age, false};
     case query_target::leases:
     case query_target::orders:
     case query_target::revisions:
@@ -409,13 +412,14 @@
     return {};
 }
 
-/// Fields of the row's document by column; the key's last part stands for the
-/// column that names the row.
-cells document_row(query_target target, table_row const &row,
-                   Json::Value const &document)
+/// @return the fields of the row's document in the order of the columns. If the
+///         document lacks the first column, which identifies the row, the last
+///         part of the row's key is used.
+row_cells document_row(query_target target, table_row const &row,
+                       Json::Value const &document)
 {
     auto const &columns = columns_of(target);
-    cells out;
+    row_cells out;
     for (auto const column : columns)
     {
         std::string const name(column);
@@ -424,9 +428,9 @@
             out.emplace_back(Json::UInt64(row.version));
             continue;
         }
-        bool const names_row = column == columns.front();
+        bool const is_key_column = column == columns.front();
         out.push_back(
-            document.isMember(name) || !names_row
+            document.isMember(name) || !is_key_column
                 ? document[name]
                 : Json::Value(row.key.substr(row.key.rfind('/') + 1)));
     }
@@ -443,7 +447,7 @@
 
 query_result query_rows(world const &w, query_statement const &query)
 {
-    auto result = all_rows(w, query.target);
+    auto result = unfiltered_rows(w, query.target);
     select_rows(query, result);
     return result;
 }
--- a/src/query_rows.hpp
+++ b/src/query_rows.hpp
@@ -16,31 +16,32 @@
 
 struct world;
 
-/// Rows of one answer, each with the columns of the query's target.
+/// Rows of an answer, with one cell for each column of the query's target.
 struct query_result
 {
     std::vector<std::vector<Json::Value>> rows;
-    /// Age of the oldest part; nothing when it is not known.
+    /// Age of the oldest data in the answer; empty if it is unknown.
     std::optional<duration> age;
-    /// False when other daemons may know rows or values that are missing here.
+    /// False if other daemons may have rows or values that this answer lacks.
     bool complete = false;
-    /// Rows that matched before the limit cut them.
+    /// Number of rows that matched, before the limit was applied.
     std::size_t matched = 0;
 };
 
-/// Rows that a query has without a `limit`, and the most it may ask for.
+/// Row limit of a query without `limit`, and the highest limit; a query with a
+/// higher one gets this one.
 constexpr unsigned default_row_limit = 200;
 constexpr unsigned max_row_limit = 10000;
 
-/// @return true for a target whose rows are in the table service
+/// @return true if the rows of `target` are stored in the table service
 bool reads_table_service(query_target target);
 
-/// Answers a query from the tables of this daemon.
+/// Answers a query from the state of this daemon.
 query_result query_rows(world const &w, query_statement const &query);
 
 /// Answers a query from rows of the table service.
 ///
-/// @param rows rows as read; values that are not JSON objects are left out
+/// @param rows rows as read; those whose value is not a JSON object are skipped
 query_result query_table_rows(query_statement const &query,
                               std::vector<table_row> const &rows);
 
--- a/src/query_table.hpp
+++ b/src/query_table.hpp
@@ -16,32 +16,36 @@
 namespace agateledge
 {
 
-/// Statement that waits for rows of the table service.
+/// Statement that waits for rows from the table service.
 struct pending_statement
 {
     operator_request request;
     statement parsed;
-    /// Index of the earlier revision while an undo reads its sections.
+    /// Section index of the earlier revision, once an undo has read it.
     std::optional<configuration_index> index;
 };
 
-/// Calls of operators that wait for an answer, and what the answers are made
-/// of beyond the other tables.
+/// Operator statements that wait for the table service, and the data that only
+/// answers to operators use.
 class query_table
 {
 public:
     decision_ring decisions;
-    /// Last list of the platform's membership, and when it arrived.
+    /// Hosts in the latest membership report of the platform, and when the
+    /// report was received.
     std::vector<host_entry> hosts;
-    instant hosts_at{};
+    instant hosts_received_at{};
 
-    void wait(operation_number operation, pending_statement pending)
+    /// Stores a statement until the reply to `operation` arrives.
+    void add_pending(operation_number operation, pending_statement pending)
     {
         pending_.insert_or_assign(operation, std::move(pending));
     }
 
-    /// Removes and returns the statement that waits for `operation`.
-    std::optional<pending_statement> take(operation_number operation)
+    /// Removes the statement that waits for `operation`.
+    ///
+    /// @return the statement; empty if none waits for `operation`
+    std::optional<pending_statement> take_pending(operation_number operation)
     {
         auto const found = pending_.find(operation);
         if (found == pending_.end())
@@ -53,7 +57,7 @@
         return taken;
     }
 
-    std::size_t waiting() const { return pending_.size(); }
+    std::size_t pending_count() const { return pending_.size(); }
 
 private:
     std::unordered_map<operation_number, pending_statement> pending_;
--- a/test/correctness/operator_answers_test.cpp
+++ b/test/correctness/operator_answers_test.cpp
@@ -1,5 +1,6 @@
-// Guards against an answer that is shown as whole although one daemon gave it,
-// against a change on an old revision, and against a `why` without the reason.
+// Guards against an answer of one daemon that is reported as complete, against
+// a change that is based on an old revision, and against a `why` answer that
+// lacks the reason.
 #include "apply_configuration.hpp"
 #include "json_text.hpp"
 #include "tick.hpp"
@@ -61,8 +62,8 @@
         return json_from_text(given.text).value_or(Json::Value());
     }
 
-    /// Calls to the table service for operators; leases and the configuration
-    /// make calls of their own.
+    /// @return the calls to the table service for operators, without those of
+    ///         leases and of the configuration
     std::vector<table_call> operator_calls() const
     {
         std::vector<table_call> out;
