--- a/src/parse_statement.hpp
+++ b/src/parse_statement.hpp
@@ -11,15 +11,15 @@
 namespace agateledge
 {
 
-/// Longest text of one statement, in bytes, and most changes of a transaction.
+/// Longest text of a statement, and the most changes in a transaction.
 constexpr std::size_t max_statement_bytes = 64 * 1024;
 constexpr std::size_t max_transaction_changes = 500;
 
 /// Parses one statement of the operator language.
 ///
-/// @param text statement; `--` begins a comment that ends with the line
+/// @param text statement in UTF-8; `--` starts a comment to the end of the line
 /// @return the statement, or `invalid_statement` with line and column of the
-///         first fault, what was expected there and what was found
+///         first error, what was expected there and what was found
 absl::StatusOr<statement> parse_statement(std::string_view text);
 
 } // namespace agateledge
--- a/src/statement.hpp
+++ b/src/statement.hpp
@@ -14,7 +14,7 @@
 namespace agateledge
 {
 
-/// Kind of entity that a query lists.
+/// Kind of entity that a query returns.
 enum class query_target
 {
     services,
@@ -39,12 +39,12 @@
     less_or_equal,
     greater,
     greater_or_equal,
-    /// The column's text has the value as a part.
+    /// The value is a substring of the column's text.
     contains,
 };
 
-/// Comparison of one column with a constant. Numbers are compared as numbers,
-/// all else as text.
+/// Comparison of one column with a constant. Two numbers are compared by value,
+/// anything else as text.
 struct query_condition
 {
     std::string column;
@@ -66,7 +66,7 @@
 struct query_statement
 {
     query_target target = query_target::services;
-    /// All must hold.
+    /// Conditions that a row must all meet.
     std::vector<query_condition> conditions;
     std::optional<query_order> order;
     std::optional<unsigned> limit;
@@ -145,7 +145,7 @@
     auto operator<=>(assign_engine const &) const = default;
 };
 
-/// release engine NAME: takes the engine out of its service.
+/// release engine NAME: removes the engine from its service.
 struct release_engine
 {
     std::string engine;
@@ -224,16 +224,16 @@
                  assign_engine, release_engine, set_limit, set_drain,
                  set_withdrawn>;
 
-/// Change that one engine carries out by an order.
+/// Change that one engine makes on an order.
 using order_change = std::variant<load_version, load_adapter, change_role>;
 
 /// One change, or: begin [on revision N]; CHANGE; ...; commit
 struct transaction_statement
 {
-    /// Revision that the changes rest on; without one, the revision in force.
+    /// Revision that the changes are based on; if empty, the one in force.
     std::optional<std::uint64_t> base;
     std::vector<configuration_change> changes;
-    /// True for "dry run": the effects are listed and nothing is changed.
+    /// True for "dry run": the effects are reported and nothing is changed.
     bool dry_run = false;
 
     auto operator<=>(transaction_statement const &) const = default;
@@ -259,7 +259,7 @@
 {
     why_subject subject = why_subject::request;
     std::string engine;
-    /// Request number; for refusals without one, the last refusals are shown.
+    /// Request number; if empty for `refusal`, the latest refusals are shown.
     std::optional<std::uint64_t> request;
 
     auto operator<=>(why_statement const &) const = default;
@@ -273,8 +273,8 @@
     auto operator<=>(history_statement const &) const = default;
 };
 
-/// undo revision N: a new revision with the content of revision N - 1, only
-/// while N is in force.
+/// undo revision N: creates a new revision with the content of revision N - 1;
+/// refused unless N is in force.
 struct undo_statement
 {
     std::uint64_t revision = 0;
@@ -283,7 +283,7 @@
     auto operator<=>(undo_statement const &) const = default;
 };
 
-/// What an operator asks for.
+/// Parsed statement of the operator language.
 using statement =
     std::variant<query_statement, transaction_statement, order_statement,
                  why_statement, history_statement, undo_statement>;
--- a/src/statement_parsers.hpp
+++ b/src/statement_parsers.hpp
@@ -12,22 +12,22 @@
 
 namespace x3 = boost::spirit::x3;
 
-/// @return true for a byte that may stand in a word of the language
+/// @return true for a byte that a word of the operator language may contain
 inline bool is_word_byte(char byte)
 {
     auto const value = static_cast<unsigned char>(byte);
     return std::isalnum(value) != 0 || byte == '_';
 }
 
-/// Compares without regard to the case of letters.
-inline bool same_word(std::string_view left, std::string_view right)
+/// Compares two texts, ignoring the case of letters.
+inline bool equal_ignoring_case(std::string_view left, std::string_view right)
 {
     return std::equal(left.begin(), left.end(), right.begin(), right.end(),
                       [](unsigned char a, unsigned char b)
                       { return std::tolower(a) == std::tolower(b); });
 }
 
-/// Reserved word, in any case of letters, that is not part of a longer word.
+/// Parses a reserved word, ignoring case; a longer word does not match.
 struct keyword_parser : x3::parser<keyword_parser>
 {
     using attribute_type = x3::unused_type;
@@ -45,7 +45,7 @@
         {
             ++end;
         }
-        if (!same_word({first, end}, text))
+        if (!equal_ignoring_case({first, end}, text))
         {
             return false;
         }
@@ -56,7 +56,7 @@
     std::string_view text;
 };
 
-/// Parser with a description that error messages show.
+/// Wraps a parser with the description that error messages show.
 template <class Subject>
 struct named_parser : x3::unary_parser<Subject, named_parser<Subject>>
 {
@@ -79,13 +79,13 @@
     std::string_view text;
 };
 
-/// @return a parser for the reserved word `word`
-inline keyword_parser word(std::string_view text)
+/// @return a parser for the reserved word `text`
+inline keyword_parser keyword(std::string_view text)
 {
     return keyword_parser(text);
 }
 
-/// @return `subject` under a description
+/// @return `subject` with a description for error messages
 template <class Subject>
 named_parser<typename x3::extension::as_parser<Subject>::value_type>
 named(Subject const &subject, std::string_view description)
@@ -119,7 +119,7 @@
     }
 };
 
-/// An action is described by the parser that it belongs to.
+/// Describes an action by the parser that it is attached to.
 template <class Subject, class Action>
 struct get_info<action<Subject, Action>>
 {
--- a/src/statement_text.cpp
+++ b/src/statement_text.cpp
@@ -14,18 +14,22 @@
 namespace
 {
 
+/// @return true if the grammar accepts `name` without quotes
 bool is_bare(std::string const &name)
 {
-    constexpr std::string_view others = ".:/@-";
+    constexpr std::string_view name_symbols = ".:/@-";
     return !name.empty() && grammar::is_word_byte(name.front()) &&
            std::ranges::all_of(name,
-                               [&others](char byte) {
+                               [&name_symbols](char byte)
+                               {
                                    return grammar::is_word_byte(byte) ||
-                                          others.find(byte) != others.npos;
+                                          name_symbols.find(byte) !=
+                                              name_symbols.npos;
                                });
 }
 
-std::string quote(std::string const &name)
+/// @return `name`, in quotes if it needs them
+std::string quote_if_needed(std::string const &name)
 {
     if (is_bare(name))
     {
@@ -45,8 +49,8 @@
 
 std::string number(double value)
 {
-    constexpr std::size_t longest = 64;
-    std::array<char, longest> text{};
+    constexpr std::size_t max_number_bytes = 64;
+    std::array<char, max_number_bytes> text{};
     auto const end = std::to_chars(text.data(), text.data() + text.size(),
                                    value, std::chars_format::fixed);
     return {text.data(), end.ptr};
@@ -74,25 +78,26 @@
 {
     std::string operator()(create_service const &value) const
     {
-        return "create service " + quote(value.name) +
-               (value.plain ? " plain" : " model " + quote(value.model));
+        return "create service " + quote_if_needed(value.name) +
+               (value.plain ? " plain"
+                            : " model " + quote_if_needed(value.model));
     }
 
     std::string operator()(drop_service const &value) const
     {
-        return "drop service " + quote(value.name);
+        return "drop service " + quote_if_needed(value.name);
     }
 
     std::string operator()(drop_class const &value) const
     {
-        return "drop class " + quote(value.name) + " of " +
-               quote(value.service);
+        return "drop class " + quote_if_needed(value.name) + " of " +
+               quote_if_needed(value.service);
     }
 
     std::string operator()(set_class const &value) const
     {
-        auto text =
-            "set class " + quote(value.name) + " of " + quote(value.service);
+        auto text = "set class " + quote_if_needed(value.name) + " of " +
+                    quote_if_needed(value.service);
         std::ranges::for_each(value.settings,
                               [&text](class_setting const &setting)
                               { text += text_of(setting); });
@@ -101,12 +106,12 @@
 
     std::string operator()(assign_engine const &value) const
     {
-        auto text = "assign engine " + quote(value.engine) + " to " +
-                    quote(value.service);
+        auto text = "assign engine " + quote_if_needed(value.engine) + " to " +
+                    quote_if_needed(value.service);
         if (!value.address.empty())
         {
-            text += " at " + quote(value.address) + " in " +
-                    quote(value.data_centre);
+            text += " at " + quote_if_needed(value.address) + " in " +
+                    quote_if_needed(value.data_centre);
         }
         if (value.role)
         {
@@ -114,20 +119,20 @@
         }
         if (!value.version.empty())
         {
-            text += " version " + quote(value.version);
+            text += " version " + quote_if_needed(value.version);
         }
         return text;
     }
 
     std::string operator()(release_engine const &value) const
     {
-        return "release engine " + quote(value.engine);
+        return "release engine " + quote_if_needed(value.engine);
     }
 
     std::string operator()(set_limit const &value) const
     {
-        return "set limit of caller " + quote(value.caller) + " rate " +
-               number(value.rate) +
+        return "set limit of caller " + quote_if_needed(value.caller) +
+               " rate " + number(value.rate) +
                (value.burst ? " burst " + number(*value.burst) : "");
     }
 
@@ -135,13 +140,13 @@
     {
         return std::string(value.draining ? "drain " : "undrain ") +
                std::string(word_of(drain_target_words, value.target)) + " " +
-               quote(value.name);
+               quote_if_needed(value.name);
     }
 
     std::string operator()(set_withdrawn const &value) const
     {
         return (value.withdrawn ? "withdraw engine " : "restore engine ") +
-               quote(value.engine);
+               quote_if_needed(value.engine);
     }
 };
 
@@ -149,20 +154,21 @@
 {
     std::string operator()(load_version const &value) const
     {
-        return "load version " + quote(value.version) + " on engine " +
-               quote(value.engine);
+        return "load version " + quote_if_needed(value.version) +
+               " on engine " + quote_if_needed(value.engine);
     }
 
     std::string operator()(load_adapter const &value) const
     {
-        return "load adapter " + quote(value.adapter) + " version " +
-               quote(value.version) + " on engine " + quote(value.engine);
+        return "load adapter " + quote_if_needed(value.adapter) + " version " +
+               quote_if_needed(value.version) + " on engine " +
+               quote_if_needed(value.engine);
     }
 
     std::string operator()(change_role const &value) const
     {
-        return "change role of engine " + quote(value.engine) + " to " +
-               std::string(name_of(value.role));
+        return "change role of engine " + quote_if_needed(value.engine) +
+               " to " + std::string(name_of(value.role));
     }
 };
 
@@ -171,13 +177,13 @@
     std::string operator()(query_statement const &value) const
     {
         auto text = "show " + std::string(name_of(value.target));
-        std::string joint = " where ";
+        std::string separator = " where ";
         for (auto const &condition : value.conditions)
         {
-            text += joint + condition.column + " " +
+            text += separator + condition.column + " " +
                     std::string(word_of(comparison_words, condition.relation)) +
-                    " " + quote(condition.value);
-            joint = " and ";
+                    " " + quote_if_needed(condition.value);
+            separator = " and ";
         }
         if (value.order)
         {
@@ -218,7 +224,7 @@
         case why_subject::request:
             return "why request " + std::to_string(value.request.value_or(0));
         case why_subject::engine:
-            return "why engine " + quote(value.engine);
+            return "why engine " + quote_if_needed(value.engine);
         case why_subject::refusal:
             return value.request
                        ? "why refusal " + std::to_string(*value.request)
--- a/src/statement_text.hpp
+++ b/src/statement_text.hpp
@@ -8,8 +8,8 @@
 namespace agateledge
 {
 
-/// @return `value` in the operator language; `parse_statement` gives the same
-///         statement again
+/// @return `value` in the operator language; `parse_statement` parses it to an
+///         equal statement
 std::string to_text(statement const &value);
 
 /// @return one change in the operator language, without ";"
--- a/src/statement_words.hpp
+++ b/src/statement_words.hpp
@@ -10,7 +10,7 @@
 namespace agateledge
 {
 
-/// Words of the fields of a class, for the parser and the printer.
+/// Names of the fields of a class, for the parser and the printer.
 inline constexpr std::array class_field_words{
     std::pair{class_field::priority, std::string_view("priority")},
     std::pair{class_field::first_token, std::string_view("first_token")},
@@ -22,7 +22,7 @@
               std::string_view("expected_output")},
 };
 
-/// Signs of the comparisons; a longer sign stands before its prefix.
+/// Comparison operators; an operator comes before any prefix of it.
 inline constexpr std::array comparison_words{
     std::pair{comparison::not_equal, std::string_view("!=")},
     std::pair{comparison::less_or_equal, std::string_view("<=")},
@@ -39,7 +39,7 @@
     std::pair{drain_target::host, std::string_view("host")},
 };
 
-/// @return the word of `value` in one of the tables above
+/// @return the word for `value` in one of the tables above, or an empty text
 template <class Table, class Value>
 constexpr std::string_view word_of(Table const &table, Value value)
 {
--- a/test/correctness/statement_round_trip_test.cpp
+++ b/test/correctness/statement_round_trip_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a statement that means something else after it was printed:
-// the history shows printed statements, and operators repeat them.
+// Guards against a statement that has another meaning once it is printed and
+// parsed again: the history shows printed statements, and operators reuse them.
 #include "parse_statement.hpp"
 #include "statement_text.hpp"
 
--- a/test/error/statement_faults_test.cpp
+++ b/test/error/statement_faults_test.cpp
@@ -1,5 +1,5 @@
-// Guards against an error message that points at the wrong place or does not
-// say what would have been accepted there.
+// Guards against a parse error that gives the wrong line or column, or does not
+// say what is accepted there.
 #include "parse_statement.hpp"
 #include "result_code.hpp"
 
--- a/test/error/statement_fuzz_test.cpp
+++ b/test/error/statement_fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a statement text that crashes the daemon, that has a printed
-// form which means something else, or whose error names no place.
+// Guards against a statement text that crashes the parser, that is printed as a
+// statement with another meaning, or whose error has no line and column.
 #include "parse_statement.hpp"
 #include "random_source.hpp"
 #include "result_code.hpp"
