--- a/src/daemon_loop.cpp
+++ b/src/daemon_loop.cpp
@@ -17,8 +17,8 @@
 {
 
 template <class Item>
-void each(std::vector<Item> const &items,
-          std::function<void(Item const &)> const &handler)
+void for_each_item(std::vector<Item> const &items,
+                   std::function<void(Item const &)> const &handler)
 {
     if (handler)
     {
@@ -108,28 +108,28 @@
 void daemon_loop::carry_out()
 {
     auto const out = std::exchange(state_.out, {});
-    each(out.log_entries, handlers.write_log);
-    each(out.caller_replies, handlers.reply_to_caller);
+    for_each_item(out.log_entries, handlers.write_log);
+    for_each_item(out.caller_replies, handlers.reply_to_caller);
     if (!out.caller_replies.empty() && handlers.flush_replies)
     {
         handlers.flush_replies();
     }
-    each(out.engine_calls, handlers.call_engine);
-    each(out.attempt_cancels, handlers.cancel_attempt);
-    each(out.service_calls, handlers.call_service);
-    each(out.table_calls, handlers.call_table);
-    each(out.order_calls, handlers.send_order);
-    each(out.peer_calls, handlers.call_peer);
-    each(out.configuration_fetches, handlers.fetch_configuration);
-    each(out.operator_replies, handlers.reply_to_operator);
-    each(out.relay_answers, handlers.answer_relay);
-    each(out.relay_cancels, handlers.cancel_relay);
-    each(out.relay_calls, handlers.call_instance);
-    each(out.kv_releases, handlers.release_kv);
-    each(out.cache_reads, handlers.read_cache);
-    each(out.row_reads, handlers.read_rows);
-    each(out.daemon_row_writes, handlers.write_daemon_row);
-    each(out.peer_load_reports, handlers.send_peer_load);
+    for_each_item(out.engine_calls, handlers.call_engine);
+    for_each_item(out.attempt_cancels, handlers.cancel_attempt);
+    for_each_item(out.service_calls, handlers.call_service);
+    for_each_item(out.table_calls, handlers.call_table);
+    for_each_item(out.order_calls, handlers.send_order);
+    for_each_item(out.peer_calls, handlers.call_peer);
+    for_each_item(out.configuration_fetches, handlers.fetch_configuration);
+    for_each_item(out.operator_replies, handlers.reply_to_operator);
+    for_each_item(out.relay_answers, handlers.answer_relay);
+    for_each_item(out.relay_cancels, handlers.cancel_relay);
+    for_each_item(out.relay_calls, handlers.call_instance);
+    for_each_item(out.kv_releases, handlers.release_kv);
+    for_each_item(out.cache_reads, handlers.read_cache);
+    for_each_item(out.row_reads, handlers.read_rows);
+    for_each_item(out.daemon_row_writes, handlers.write_daemon_row);
+    for_each_item(out.peer_load_reports, handlers.send_peer_load);
     if (out.stop_ready && handlers.stop)
     {
         handlers.stop();
--- a/src/daemon_loop.hpp
+++ b/src/daemon_loop.hpp
@@ -12,7 +12,8 @@
 
 struct world;
 
-/// Carries out the output of a tick; an empty handler ignores its kind.
+/// Handlers for the output of a tick, one per kind of output. Output whose
+/// handler is empty is dropped.
 struct output_handlers
 {
     std::function<void(log_entry const &)> write_log;
@@ -33,14 +34,16 @@
     std::function<void(row_read const &)> read_rows;
     std::function<void(daemon_row_write const &)> write_daemon_row;
     std::function<void(peer_load_send const &)> send_peer_load;
-    /// Runs after all replies of a tick, so that they can be sent together.
+    /// Runs after all caller replies of a tick, so that they can be sent
+    /// together.
     std::function<void()> flush_replies;
+    /// Runs when the tick reports that the shutdown is complete.
     std::function<void()> stop;
 };
 
-/// Runs the tick of one daemon on the default GLib main context: soon after new
-/// input, and at `world::next_wake` at the latest. Several daemons may share
-/// the context (`agateledge dev`).
+/// Schedules the ticks of one daemon on the default GLib main context: as soon
+/// as possible after new input, and no later than `world::next_wake`. Several
+/// daemons may share the context (`agateledge dev`).
 class daemon_loop
 {
 public:
@@ -50,13 +53,15 @@
     daemon_loop(daemon_loop const &) = delete;
     daemon_loop &operator=(daemon_loop const &) = delete;
 
-    /// @return the input of the next tick, which is scheduled by this call
+    /// Schedules a tick.
+    ///
+    /// @return the inbox that the next tick reads
     inbox &input();
 
-    /// Handlers that the adapters install before the loop runs.
+    /// Installed by the adapters before the main loop runs.
     output_handlers handlers;
 
-    /// @return CLOCK_BOOTTIME, which also advances while the process is paused
+    /// @return CLOCK_BOOTTIME, which also advances while the host is suspended
     static instant clock_now();
 
 private:
--- a/src/daemon_process.cpp
+++ b/src/daemon_process.cpp
@@ -61,8 +61,8 @@
     handlers.reply_to_operator = [this](operator_reply const &answer)
     { operators_.reply(answer); };
     handlers.stop = [this] { stop_ready_ = true; };
-    callers_.on_hold = [this](std::string const &key, bool hold)
-    { engines_.hold_stream(key, hold); };
+    callers_.on_hold = [this](std::string const &key, bool paused)
+    { engines_.pause_stream(key, paused); };
     engines_.is_held = [this](std::string const &key)
     { return callers_.is_held(key); };
 }
@@ -88,7 +88,7 @@
     return status;
 }
 
-absl::Status daemon_process::start_peers()
+absl::Status daemon_process::start_peer_listener()
 {
     membership_.start();
     for (auto const &peer : config_.peers)
@@ -116,7 +116,7 @@
     }
     use_initial_configuration(state_, config_.initial);
     auto listening = callers_.start(config_.caller_address, config_.caller_tls);
-    listening.Update(start_peers());
+    listening.Update(start_peer_listener());
     if (!config_.operators.empty())
     {
         listening.Update(operators_.start(config_.operator_address));
--- a/src/daemon_process.hpp
+++ b/src/daemon_process.hpp
@@ -32,28 +32,28 @@
 {
 public:
     /// @param config settings of the daemon
-    /// @param incarnation start time; higher than that of earlier daemons of
-    ///        the same name
-    /// @param seed seed of the daemon's random decisions
+    /// @param incarnation start time in microseconds; greater than that of any
+    ///        earlier daemon of the same name
+    /// @param seed seed of the daemon's random number generator
     daemon_process(settings config, incarnation_number incarnation,
                    std::uint64_t seed);
     ~daemon_process();
     daemon_process(daemon_process const &) = delete;
     daemon_process &operator=(daemon_process const &) = delete;
 
-    /// Reads the keys, begins to listen and puts the initial configuration in
-    /// force.
+    /// Loads the keys, applies the initial configuration and starts the
+    /// listeners.
     ///
     /// @return `settings_invalid` when a setting cannot be used
     absl::Status start();
 
-    /// Reads keys and certificates again. The old ones stay on a failure, which
-    /// is logged.
+    /// Reloads keys and certificates. A file that cannot be loaded keeps its
+    /// previous content in use, and the failure is logged.
     ///
-    /// @return what failed
+    /// @return OK, or the first failure
     absl::Status reload();
 
-    /// Begins a graceful shutdown; `on_stopped` runs at its end.
+    /// Starts a graceful shutdown; `on_stopped` runs when it is complete.
     void shut_down();
 
     world &state() { return state_; }
@@ -61,19 +61,20 @@
     http_client &http() { return http_; }
     caller_listener &callers() { return callers_; }
 
-    /// Listener for other daemons; listens only with a file of peer keys.
+    /// Listener for other daemons; started only when a peer key file is set.
     peer_listener &peers() { return peer_listener_; }
 
-    /// Listener for operators; listens only when the settings name one.
+    /// Listener for operators; started only when the settings define at least
+    /// one operator.
     operator_listener &operators() { return operators_; }
 
-    /// Called once the shutdown has finished.
+    /// Called once when the shutdown is complete.
     std::function<void()> on_stopped;
 
 private:
     void install_handlers();
     absl::Status load_keys();
-    absl::Status start_peers();
+    absl::Status start_peer_listener();
     void install_peer_handlers();
 
     settings config_;
@@ -92,7 +93,7 @@
     membership_client membership_;
     operator_listener operators_;
     shutdown_wait shutdown_;
-    /// True once the tick has reported the end of the shutdown.
+    /// True once the tick has reported that the shutdown is complete.
     bool stop_ready_ = false;
 };
 
--- a/src/engine_client.cpp
+++ b/src/engine_client.cpp
@@ -20,18 +20,18 @@
 constexpr int http_conflict = 409;
 constexpr int http_unavailable = 503;
 constexpr duration cancel_timeout = seconds(2);
-/// Bound on the reply to an order; the engine answers before it carries the
-/// order out.
+/// The engine replies to an order before it executes it, so that the time-out
+/// need not cover the execution.
 constexpr duration order_timeout = seconds(2);
 
-/// True when the engine states that it has not begun the work.
-bool refuses(int status, bool attach)
+/// @return true when the status means that the engine has not started the work
+bool is_refusal(int status, bool attach)
 {
     return status == http_conflict || status == http_unavailable ||
            (attach && status == http_not_found);
 }
 
-order_outcome outcome_of(http_reply const &reply)
+order_outcome order_outcome_of(http_reply const &reply)
 {
     if (reply.outcome == http_outcome::failed_before_send)
     {
@@ -46,7 +46,7 @@
 
 } // namespace
 
-/// Stream of one attempt.
+/// Open connection of one attempt.
 struct engine_client::stream
 {
     attempt_number attempt;
@@ -88,7 +88,7 @@
     handlers.on_end = [this, item](http_outcome outcome)
     { on_end(*item, outcome); };
     streams_.insert_or_assign(call.attempt, item);
-    by_key_.insert_or_assign(call.stream_key, call.attempt);
+    attempts_by_key_.insert_or_assign(call.stream_key, call.attempt);
     item->call = http_.open(request, std::move(handlers));
     if (is_held && is_held(call.stream_key))
     {
@@ -118,7 +118,8 @@
 
 void engine_client::send_order(order_call const &call)
 {
-    // The process may have been paused since the tick checked its authority.
+    // The process may have been paused since the tick checked its authority,
+    // which may have expired in the meantime.
     if (daemon_loop::clock_now() >= call.not_after)
     {
         loop_.input().order_replies.push_back(
@@ -135,21 +136,22 @@
         std::make_shared<std::string const>(engine_order_to_text(call.order));
     http_.send(request,
                [this, engine = call.order.engine,
-                id = call.order.id](http_reply const &reply) {
+                id = call.order.id](http_reply const &reply)
+               {
                    loop_.input().order_replies.push_back(
-                       {engine, id, outcome_of(reply)});
+                       {engine, id, order_outcome_of(reply)});
                });
 }
 
-void engine_client::hold_stream(std::string const &stream_key, bool hold)
+void engine_client::pause_stream(std::string const &stream_key, bool paused)
 {
-    auto const found = by_key_.find(stream_key);
-    if (found == by_key_.end())
+    auto const found = attempts_by_key_.find(stream_key);
+    if (found == attempts_by_key_.end())
     {
         return;
     }
     auto const item = streams_.at(found->second);
-    if (hold)
+    if (paused)
     {
         item->call->pause();
         return;
@@ -168,12 +170,12 @@
     {
         return;
     }
-    bool const good = item.reader.read(bytes, [this, &item](auto data)
-                                       { return on_data(item, data); });
-    if (!good && streams_.contains(item.attempt))
+    bool const valid = item.reader.read(bytes, [this, &item](auto data)
+                                        { return on_data(item, data); });
+    if (!valid && streams_.contains(item.attempt))
     {
         auto const call = item.call;
-        end_with(item, engine_event_kind::failed_after_send);
+        finish_stream(item, engine_event_kind::failed_after_send);
         http_.cancel(call);
     }
 }
@@ -205,15 +207,15 @@
     }
     if (outcome == http_outcome::failed_before_send)
     {
-        end_with(item, engine_event_kind::failed_before_send);
+        finish_stream(item, engine_event_kind::failed_before_send);
         return;
     }
-    end_with(item, refuses(item.status, item.attach)
-                       ? engine_event_kind::refused
-                       : engine_event_kind::failed_after_send);
+    finish_stream(item, is_refusal(item.status, item.attach)
+                            ? engine_event_kind::refused
+                            : engine_event_kind::failed_after_send);
 }
 
-void engine_client::end_with(stream &item, engine_event_kind kind)
+void engine_client::finish_stream(stream &item, engine_event_kind kind)
 {
     engine_event event;
     event.attempt = item.attempt;
@@ -224,10 +226,10 @@
 
 void engine_client::forget(stream const &item)
 {
-    auto const key = by_key_.find(item.key);
-    if (key != by_key_.end() && key->second == item.attempt)
+    auto const key = attempts_by_key_.find(item.key);
+    if (key != attempts_by_key_.end() && key->second == item.attempt)
     {
-        by_key_.erase(key);
+        attempts_by_key_.erase(key);
     }
     streams_.erase(item.attempt);
 }
--- a/src/engine_poller.cpp
+++ b/src/engine_poller.cpp
@@ -16,23 +16,24 @@
 namespace
 {
 
-/// Shortest interval per engine.
-constexpr duration poll_interval = milliseconds(400);
-/// Engines with open work are polled this many times as often as idle ones.
+/// Minimum interval between two polls of one engine.
+constexpr duration min_poll_interval = milliseconds(400);
+/// When the byte budget is short, engines with open requests are polled this
+/// many times as often as idle ones.
 constexpr int open_work_weight = 8;
-/// Time between two looks at the budget.
-constexpr duration spacing = milliseconds(25);
-/// Share of the 8 KB/s that a daemon may spend on control.
+/// At most one engine is polled per interval.
+constexpr duration timer_interval = milliseconds(25);
+/// Part of the 8 KB/s of control traffic allowed per daemon.
 constexpr double bytes_per_second = 3000;
 constexpr double burst_bytes = 16000;
-/// Request line and headers of a poll and of its answer.
+/// Estimated size of the request line and headers of a poll and its reply.
 constexpr std::size_t header_bytes = 330;
-/// Polls of an engine for one poll of its cache events.
-constexpr int polls_per_cache_poll = 4;
+/// Cache events of an engine are polled after every n-th load poll.
+constexpr int load_polls_per_cache_poll = 4;
 constexpr duration poll_timeout = seconds(1);
 constexpr int http_ok = 200;
 
-bool is_good(http_reply const &reply)
+bool is_success(http_reply const &reply)
 {
     return reply.outcome == http_outcome::answered && reply.status == http_ok;
 }
@@ -51,7 +52,7 @@
 engine_poller::engine_poller(world const &state, http_client &http,
                              daemon_loop &loop)
     : state_(state), http_(http), loop_(loop),
-      bytes_(bytes_per_second, burst_bytes)
+      byte_budget_(bytes_per_second, burst_bytes)
 {
 }
 
@@ -72,7 +73,7 @@
 {
     timer_ = g_timeout_add(
         static_cast<guint>(
-            std::chrono::duration_cast<milliseconds>(spacing).count()),
+            std::chrono::duration_cast<milliseconds>(timer_interval).count()),
         [](gpointer self) -> gboolean
         {
             auto *poller = static_cast<engine_poller *>(self);
@@ -85,21 +86,21 @@
 
 void engine_poller::poll_next()
 {
-    if (bytes_.available(daemon_loop::clock_now()) <= 0)
+    if (byte_budget_.available(daemon_loop::clock_now()) <= 0)
     {
         return;
     }
-    if (auto const *engine = choose())
+    if (auto const *engine = choose_engine())
     {
         poll_load(*engine);
     }
 }
 
-engine_definition const *engine_poller::choose()
+engine_definition const *engine_poller::choose_engine()
 {
     auto const now = daemon_loop::clock_now();
     engine_definition const *chosen = nullptr;
-    duration longest = poll_interval;
+    duration max_weighted_age = min_poll_interval;
     for (auto const &engine : state_.engines.all())
     {
         auto const &cursor = cursors_[engine.definition.name];
@@ -108,37 +109,38 @@
             continue;
         }
         auto const age = now - cursor.polled_at;
-        auto const due = engine.own_requests > 0 ? age * open_work_weight : age;
-        if (age >= poll_interval && due >= longest)
+        auto const weighted_age =
+            engine.own_requests > 0 ? age * open_work_weight : age;
+        if (age >= min_poll_interval && weighted_age >= max_weighted_age)
         {
-            longest = due;
+            max_weighted_age = weighted_age;
             chosen = &engine.definition;
         }
     }
     return chosen;
 }
 
-void engine_poller::charge(std::size_t reply_bytes)
+void engine_poller::charge_poll(std::size_t reply_bytes)
 {
-    bytes_.force(daemon_loop::clock_now(),
-                 static_cast<double>(header_bytes + reply_bytes));
+    byte_budget_.force(daemon_loop::clock_now(),
+                       static_cast<double>(header_bytes + reply_bytes));
 }
 
 void engine_poller::poll_load(engine_definition const &engine)
 {
-    auto &started = cursors_[engine.name];
-    started.polling = true;
-    started.polled_at = daemon_loop::clock_now();
-    ++started.polls;
+    auto &polled = cursors_[engine.name];
+    polled.polling = true;
+    polled.polled_at = daemon_loop::clock_now();
+    ++polled.polls;
     http_.send(make_get(engine.address, "/v1/load"),
                [this, name = engine.name,
                 address = engine.address](http_reply const &reply)
                {
                    auto &cursor = cursors_[name];
                    cursor.polling = false;
-                   charge(reply.body.size());
+                   charge_poll(reply.body.size());
                    auto report = load_report_from_text(name, reply.body);
-                   if (!is_good(reply) || !report.ok())
+                   if (!is_success(reply) || !report.ok())
                    {
                        return;
                    }
@@ -148,7 +150,7 @@
                    }
                    cursor.generation = report->generation;
                    loop_.input().load_reports.push_back(*std::move(report));
-                   if (cursor.polls % polls_per_cache_poll == 0)
+                   if (cursor.polls % load_polls_per_cache_poll == 0)
                    {
                        poll_cache(name, address);
                    }
@@ -163,9 +165,9 @@
         make_get(address, "/v1/cache_events?after=" + std::to_string(after)),
         [this, name](http_reply const &reply)
         {
-            charge(reply.body.size());
+            charge_poll(reply.body.size());
             auto events = cache_events_from_text(name, reply.body);
-            if (!is_good(reply) || !events.ok() || events->empty())
+            if (!is_success(reply) || !events.ok() || events->empty())
             {
                 return;
             }
--- a/src/engine_protocol.cpp
+++ b/src/engine_protocol.cpp
@@ -16,11 +16,13 @@
 namespace
 {
 
-/// Most tokens that one event may carry or an answer may have.
+/// Upper bound on the token counts and offsets that are accepted.
 constexpr int max_tokens = 10'000'000;
 
-/// Parses `text` and reads it with `read`; a value of the wrong type becomes
-/// `invalid_request`.
+/// Parses `text` as JSON and converts it with `read`.
+///
+/// @return `invalid_request` when the text is not JSON, a value has the wrong
+///         type, or `read` returns no value
 template <class Value>
 absl::StatusOr<Value>
 read_json(std::string_view text,
@@ -42,10 +44,11 @@
     {
         return make_status(result_code::invalid_request, error.what());
     }
-    return make_status(result_code::invalid_request, "unexpected value");
+    return make_status(result_code::invalid_request,
+                       "a field has an unknown name or is out of range");
 }
 
-/// Reads a 64-bit number that is a JSON number or a decimal string.
+/// Reads a 64-bit number given as a JSON number or as a decimal string.
 std::uint64_t read_number(Json::Value const &value)
 {
     if (!value.isString())
@@ -58,7 +61,7 @@
         std::from_chars(text.data(), text.data() + text.size(), number);
     if (error != std::errc() || end != text.data() + text.size())
     {
-        throw Json::RuntimeError("not a number: " + text.substr(0, 40));
+        throw Json::RuntimeError("not a decimal number: " + text.substr(0, 40));
     }
     return number;
 }
@@ -75,7 +78,7 @@
     return found == kinds.end() ? std::nullopt : std::optional(found->second);
 }
 
-bool in_range(int count)
+bool is_token_count(int count)
 {
     return count >= 0 && count <= max_tokens;
 }
@@ -93,8 +96,9 @@
     event.tokens = json["tokens"].asInt();
     event.text = json["text"].asString();
     event.cached_tokens = json["cached_tokens"].asInt();
-    bool const valid = in_range(event.offset) && in_range(event.tokens) &&
-                       in_range(event.cached_tokens);
+    bool const valid = is_token_count(event.offset) &&
+                       is_token_count(event.tokens) &&
+                       is_token_count(event.cached_tokens);
     return valid ? std::optional(std::move(event)) : std::nullopt;
 }
 
--- a/src/engine_protocol.hpp
+++ b/src/engine_protocol.hpp
@@ -17,7 +17,7 @@
 ///         because JSON readers may round them
 std::string engine_call_to_text(engine_call const &call);
 
-/// Reads the data of one server-sent event of an engine.
+/// Parses the data of one server-sent event from an engine.
 ///
 /// @param attempt attempt that the event belongs to
 /// @param text JSON document
@@ -25,17 +25,17 @@
 absl::StatusOr<engine_event> engine_event_from_text(attempt_number attempt,
                                                     std::string_view text);
 
-/// Reads the reply of GET /v1/load.
+/// Parses the reply to GET /v1/load.
 ///
-/// @param engine engine that was asked
+/// @param engine name of the engine that replied
 /// @param text JSON document
 /// @return the report, or `invalid_request`
 absl::StatusOr<load_report> load_report_from_text(std::string const &engine,
                                                   std::string_view text);
 
-/// Reads the reply of GET /v1/cache_events.
+/// Parses the reply to GET /v1/cache_events.
 ///
-/// @param engine engine that was asked
+/// @param engine name of the engine that replied
 /// @param text JSON document
 /// @return the events, or `invalid_request`
 absl::StatusOr<std::vector<cache_event>>
@@ -44,7 +44,8 @@
 /// @return JSON body of POST /v1/orders
 std::string engine_order_to_text(engine_order const &order);
 
-/// @return outcome that the reply of POST /v1/orders names, or `unknown`
+/// @return outcome in the reply to POST /v1/orders; `unknown` when the reply is
+///         malformed
 order_outcome order_outcome_from_text(std::string_view text);
 
 } // namespace agateledge
