--- a/src/service_client.cpp
+++ b/src/service_client.cpp
@@ -31,8 +31,8 @@
     request.path = call.path;
     request.body = call.method == "GET" ? nullptr : call.body;
     request.total_timeout = call.timeout;
-    // A kept connection may turn out closed only after the call was written to
-    // it, which would leave the outcome of a non-idempotent call unknown.
+    // The server may close a reused connection while the call is written to it,
+    // which would leave the outcome of a non-idempotent call unknown.
     request.new_connection = call.method != "GET";
     if (!call.idempotency_key.empty())
     {
--- a/src/service_client.hpp
+++ b/src/service_client.hpp
@@ -9,16 +9,16 @@
 class daemon_loop;
 class http_client;
 
-/// Carries out calls to the endpoints of plain services.
+/// Sends calls to the endpoints of plain services.
 class service_client
 {
 public:
     /// @param http connections; outlives the client
-    /// @param loop takes the replies; outlives the client
+    /// @param loop receives the replies; outlives the client
     service_client(http_client &http, daemon_loop &loop);
 
-    /// Sends one call, once. Only a failed connect counts as a failure before
-    /// the send.
+    /// Sends a call once, without retries. Only a failure to connect is
+    /// reported as `failed_before_send`.
     void call(service_call const &call);
 
 private:
--- a/src/table_client.cpp
+++ b/src/table_client.cpp
@@ -16,18 +16,19 @@
 {
 
 constexpr int http_ok = 200;
-constexpr int http_too_many = 429;
+constexpr int http_too_many_requests = 429;
 constexpr int http_unavailable = 503;
 constexpr duration call_timeout = seconds(2);
-/// Longest wait for the budget; after it the call has certainly had no effect.
+/// Maximum time in the queue. A call that expires there was never sent, so that
+/// it has certainly had no effect.
 constexpr duration queue_timeout = seconds(1);
-constexpr std::size_t max_queued = 512;
-constexpr std::size_t max_in_flight = 64;
-constexpr duration pump_interval = milliseconds(10);
-/// Part of a second's budget that may be used at once.
+constexpr std::size_t max_queued_calls = 512;
+constexpr std::size_t max_calls_in_flight = 64;
+constexpr duration queue_check_interval = milliseconds(10);
+/// Capacity of each token bucket, in seconds of its rate.
 constexpr double burst_seconds = 1;
 
-bool is_urgent(table_call const &call)
+bool bypasses_queue(table_call const &call)
 {
     return call.owner == table_owner::lease ||
            call.owner == table_owner::order ||
@@ -38,7 +39,7 @@
 {
     return reply.outcome == http_outcome::failed_before_send ||
            (reply.outcome == http_outcome::answered &&
-            (reply.status == http_too_many ||
+            (reply.status == http_too_many_requests ||
              reply.status == http_unavailable));
 }
 
@@ -57,9 +58,10 @@
 table_client::table_client(http_client &http, daemon_loop &loop,
                            std::string address, store_limits limits)
     : http_(http), loop_(loop), address_(std::move(address)),
-      writes_(limits.writes_per_second,
-              limits.writes_per_second * burst_seconds),
-      reads_(limits.reads_per_second, limits.reads_per_second * burst_seconds)
+      write_budget_(limits.writes_per_second,
+                    limits.writes_per_second * burst_seconds),
+      read_budget_(limits.reads_per_second,
+                   limits.reads_per_second * burst_seconds)
 {
 }
 
@@ -73,31 +75,32 @@
 
 void table_client::call(table_call const &call)
 {
-    if (is_urgent(call) || (queue_.empty() && may_send(call)))
+    if (bypasses_queue(call) || (queue_.empty() && may_send(call)))
     {
         send(call);
         return;
     }
-    if (queue_.size() >= max_queued)
+    if (queue_.size() >= max_queued_calls)
     {
-        answer_unavailable(call);
+        reply_unavailable(call);
         return;
     }
     queue_.push_back({call, daemon_loop::clock_now() + queue_timeout});
-    schedule_pump();
+    schedule_queue_check();
 }
 
 bool table_client::may_send(table_call const &call)
 {
-    auto &budget = call.is_write() ? writes_ : reads_;
-    return in_flight_ < max_in_flight && budget.take(daemon_loop::clock_now());
+    auto &budget = call.is_write() ? write_budget_ : read_budget_;
+    return in_flight_ < max_calls_in_flight &&
+           budget.take(daemon_loop::clock_now());
 }
 
 void table_client::send(table_call const &call)
 {
-    if (is_urgent(call))
+    if (bypasses_queue(call))
     {
-        auto &budget = call.is_write() ? writes_ : reads_;
+        auto &budget = call.is_write() ? write_budget_ : read_budget_;
         budget.force(daemon_loop::clock_now());
     }
     ++in_flight_;
@@ -108,11 +111,11 @@
     request.body =
         std::make_shared<std::string const>(table_call_to_text(call));
     request.total_timeout = call_timeout;
-    http_.send(request,
-               [this, call](http_reply const &reply) { answer(call, reply); });
+    http_.send(request, [this, call](http_reply const &reply)
+               { handle_reply(call, reply); });
 }
 
-void table_client::answer(table_call const &call, http_reply const &reply)
+void table_client::handle_reply(table_call const &call, http_reply const &reply)
 {
     --in_flight_;
     auto out = failed_reply(call, reply);
@@ -127,7 +130,7 @@
     loop_.input().table_replies.push_back(std::move(out));
 }
 
-void table_client::answer_unavailable(table_call const &call)
+void table_client::reply_unavailable(table_call const &call)
 {
     table_reply reply;
     reply.operation = call.operation;
@@ -136,9 +139,9 @@
     loop_.input().table_replies.push_back(std::move(reply));
 }
 
-void table_client::pump()
+void table_client::send_queued_calls()
 {
-    expire();
+    expire_queued_calls();
     while (!queue_.empty() && may_send(queue_.front().call))
     {
         auto const next = std::move(queue_.front());
@@ -147,35 +150,35 @@
     }
     if (!queue_.empty())
     {
-        schedule_pump();
+        schedule_queue_check();
     }
 }
 
-void table_client::expire()
+void table_client::expire_queued_calls()
 {
     auto const now = daemon_loop::clock_now();
     while (!queue_.empty() && queue_.front().expires_at <= now)
     {
-        answer_unavailable(queue_.front().call);
+        reply_unavailable(queue_.front().call);
         queue_.pop_front();
     }
 }
 
-void table_client::schedule_pump()
+void table_client::schedule_queue_check()
 {
     if (timer_ != 0)
     {
         return;
     }
     auto const delay =
-        std::chrono::duration_cast<milliseconds>(pump_interval).count();
+        std::chrono::duration_cast<milliseconds>(queue_check_interval).count();
     timer_ = g_timeout_add(
         static_cast<guint>(delay),
         [](gpointer self) -> gboolean
         {
             auto *client = static_cast<table_client *>(self);
             client->timer_ = 0;
-            client->pump();
+            client->send_queued_calls();
             return G_SOURCE_REMOVE;
         },
         this);
--- a/src/table_protocol.cpp
+++ b/src/table_protocol.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-Json::Value list_of(std::vector<std::string> const &keys)
+Json::Value keys_to_json(std::vector<std::string> const &keys)
 {
     Json::Value list(Json::arrayValue);
     std::ranges::for_each(keys, [&list](std::string const &key)
@@ -26,7 +26,7 @@
     Json::Value json;
     if (call.prefix.empty())
     {
-        json["keys"] = list_of(call.keys);
+        json["keys"] = keys_to_json(call.keys);
         return json;
     }
     json["prefix"] = call.prefix;
@@ -59,7 +59,7 @@
     auto &puts = json["puts"] = Json::arrayValue;
     std::ranges::for_each(call.puts, [&puts](auto const &put)
                           { puts.append(put_to_json(put)); });
-    json["deletes"] = list_of(call.deletes);
+    json["deletes"] = keys_to_json(call.deletes);
     return json;
 }
 
@@ -77,7 +77,8 @@
     auto const outcome = json["outcome"].asString();
     if (outcome != "committed" && outcome != "conflict")
     {
-        throw Json::RuntimeError("outcome \"" + outcome.substr(0, 40) + "\"");
+        throw Json::RuntimeError("unknown outcome \"" + outcome.substr(0, 40) +
+                                 "\"");
     }
     reply.outcome = outcome == "committed" ? table_outcome::committed
                                            : table_outcome::conflict;
--- a/src/table_protocol.hpp
+++ b/src/table_protocol.hpp
@@ -11,14 +11,16 @@
 namespace agateledge
 {
 
-/// @return JSON body of POST /v1/read or POST /v1/transact for `call`
+/// @return JSON body of the request for `call`: POST /v1/transact for a write,
+///         POST /v1/read otherwise
 std::string table_call_to_text(table_call const &call);
 
-/// Reads the reply of the table service.
+/// Parses a reply of the table service.
 ///
-/// @param call the call that is answered
+/// @param call the call that the reply belongs to
 /// @param text JSON document
-/// @return the reply, committed or conflict, or `invalid_request`
+/// @return the reply, with the outcome `committed` or `conflict`; otherwise
+///         `invalid_request`
 absl::StatusOr<table_reply> table_reply_from_text(table_call const &call,
                                                   std::string_view text);
 
