--- a/src/peer_client.cpp
+++ b/src/peer_client.cpp
@@ -20,10 +20,10 @@
 namespace
 {
 
-/// Two rounds of heartbeats: a slower peer counts as failed.
+/// Two heartbeat intervals; a peer that takes longer is reported as failed.
 constexpr duration call_timeout = seconds(1);
 
-std::string rpc_text(peer_envelope const &call)
+std::string rpc_request_text(peer_envelope const &call)
 {
     jsonrpc::BatchCall batch;
     batch.addCall(call.method, envelope_to_json(call));
@@ -92,26 +92,27 @@
     request.address = address;
     request.path = "/rpc";
     request.total_timeout = call_timeout;
-    request.body = std::make_shared<std::string const>(rpc_text(call));
+    request.body = std::make_shared<std::string const>(rpc_request_text(call));
     http_.send(
         request,
         [this, call, on_body = std::move(on_body)](http_reply const &reply)
         {
             auto const body = reply.outcome == http_outcome::answered
-                                  ? body_of(call, reply.body)
+                                  ? reply_body(call, reply.body)
                                   : make_status(result_code::internal_error,
-                                                "the peer does not answer");
+                                                "the peer did not answer");
             if (body.ok())
             {
                 on_body(*body);
                 return;
             }
-            fail(call.receiver);
+            report_failure(call.receiver);
         });
 }
 
-absl::StatusOr<peer_envelope> peer_client::verified(peer_envelope const &call,
-                                                    Json::Value const &in) const
+absl::StatusOr<peer_envelope>
+peer_client::verify_reply(peer_envelope const &call,
+                          Json::Value const &in) const
 {
     auto reply = envelope_from_json(call.method + "/reply", in);
     if (!reply.ok())
@@ -124,42 +125,43 @@
         reply->counter == call.counter && verify_envelope(*reply, keys_);
     return matches ? reply
                    : make_status(result_code::unauthenticated,
-                                 "the peer's reply is not valid");
+                                 "the peer's reply does not match the call or "
+                                 "its signature is not valid");
 }
 
-void peer_client::learn_incarnation(peer_envelope const &call,
-                                    Json::Value const &error)
+void peer_client::update_incarnation(peer_envelope const &call,
+                                     Json::Value const &error)
 {
-    auto const reply = verified(call, error["data"]);
+    auto const reply = verify_reply(call, error["data"]);
     if (reply.ok() && reply->incarnation > incarnations_[call.receiver])
     {
         incarnations_[call.receiver] = reply->incarnation;
     }
 }
 
-absl::StatusOr<std::string> peer_client::body_of(peer_envelope const &call,
-                                                 std::string const &response)
+absl::StatusOr<std::string> peer_client::reply_body(peer_envelope const &call,
+                                                    std::string const &response)
 {
     auto const document = json_from_text(response);
     if (!document.ok() || !document->isArray() || document->size() != 1 ||
         !(*document)[0].isObject())
     {
         return make_status(result_code::invalid_request,
-                           "the peer's response is damaged");
+                           "the peer's response is not a valid JSON-RPC reply");
     }
     auto const &item = (*document)[0];
     if (item["error"].isObject())
     {
-        learn_incarnation(call, item["error"]);
+        update_incarnation(call, item["error"]);
         return make_status(result_code::unauthenticated,
-                           "the peer refused the call");
+                           "the peer returned a JSON-RPC error");
     }
-    auto const reply = verified(call, item["result"]);
+    auto const reply = verify_reply(call, item["result"]);
     return reply.ok() ? absl::StatusOr<std::string>(reply->body)
                       : reply.status();
 }
 
-void peer_client::fail(std::string const &peer)
+void peer_client::report_failure(std::string const &peer)
 {
     loop_.input().peer_failures.push_back({peer});
 }
--- a/src/peer_client.hpp
+++ b/src/peer_client.hpp
@@ -20,21 +20,23 @@
 struct daemon_identity;
 
 /// Calls other daemons. The first call to a daemon, and the first one after its
-/// restart, only learns its incarnation.
+/// restart, is refused and reported as failed: the signed error reply carries
+/// the incarnation that later calls must name.
 class peer_client
 {
 public:
     /// @param identity this daemon
     /// @param http connections; outlives the client
-    /// @param loop takes the replies; outlives the client
-    /// @param keys keys of the calls between daemons
+    /// @param loop receives the replies; outlives the client
+    /// @param keys keys that sign the calls between daemons
     peer_client(daemon_identity const &identity, http_client &http,
                 daemon_loop &loop, signing_keys const &keys);
 
-    /// Sends a heartbeat; the reply is a heartbeat, or a `peer_failure`.
+    /// Sends a heartbeat; the inbox receives the peer's heartbeat or a
+    /// `peer_failure`.
     void call(peer_call const &call);
 
-    /// Asks for the configuration document.
+    /// Requests the peer's configuration document.
     void fetch(configuration_fetch const &fetch);
 
 private:
@@ -45,12 +47,13 @@
               body_handler on_body);
     peer_envelope make_call(std::string const &peer, std::string const &method,
                             std::string body);
-    absl::StatusOr<std::string> body_of(peer_envelope const &call,
-                                        std::string const &response);
-    absl::StatusOr<peer_envelope> verified(peer_envelope const &call,
-                                           Json::Value const &in) const;
-    void learn_incarnation(peer_envelope const &call, Json::Value const &error);
-    void fail(std::string const &peer);
+    absl::StatusOr<std::string> reply_body(peer_envelope const &call,
+                                           std::string const &response);
+    absl::StatusOr<peer_envelope> verify_reply(peer_envelope const &call,
+                                               Json::Value const &in) const;
+    void update_incarnation(peer_envelope const &call,
+                            Json::Value const &error);
+    void report_failure(std::string const &peer);
 
     daemon_identity const &identity_;
     http_client &http_;
--- a/src/peer_envelope.cpp
+++ b/src/peer_envelope.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// A JSON array keeps the members apart whatever characters they contain.
+/// Text that is signed: a JSON array, so that no two envelopes have the same
+/// text, whatever characters the members contain.
 std::string signed_text(peer_envelope const &envelope)
 {
     Json::Value text(Json::arrayValue);
@@ -56,7 +57,7 @@
     if (!in.isObject())
     {
         return make_status(result_code::invalid_request,
-                           "a peer message is not an object");
+                           "peer message: not a JSON object");
     }
     try
     {
--- a/src/peer_listener.hpp
+++ b/src/peer_listener.hpp
@@ -16,17 +16,17 @@
 {
 public:
     /// @param state this daemon
-    /// @param loop takes the heartbeats
-    /// @param keys keys of the calls between daemons
+    /// @param loop receives the heartbeats
+    /// @param keys keys that sign the calls between daemons
     peer_listener(world &state, daemon_loop &loop, signing_keys const &keys);
 
-    /// Begins to listen.
+    /// Starts the listener.
     ///
-    /// @param address IP address and port; port 0 takes a free one
+    /// @param address IP address and port; port 0 selects a free one
     /// @return `settings_invalid` for an address that is malformed or in use
     absl::Status start(std::string const &address);
 
-    /// @return the IP address and port that the listener has
+    /// @return the IP address and port that the listener is bound to
     std::string address() const { return server_.address(); }
 
 private:
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -15,10 +15,11 @@
 namespace
 {
 
-/// Items of one list in a message; a signed peer sends far fewer.
+/// Maximum length of a list in a message, far above what a peer sends.
 constexpr Json::ArrayIndex max_items = 100000;
 
-/// Longest age that is believed, so that a subtraction cannot overflow.
+/// Ages are clamped to one day, so that subtracting them from a time cannot
+/// overflow.
 constexpr std::int64_t max_age_us = std::int64_t{86400} * 1000000;
 
 template <class Item, class Convert>
@@ -36,7 +37,7 @@
     std::vector<decltype(convert(in))> out;
     if (!in.isArray() || in.size() > max_items)
     {
-        Json::throwRuntimeError("not a list, or one of too many items");
+        Json::throwRuntimeError("not an array, or more than 100000 items");
     }
     std::transform(in.begin(), in.end(), std::back_inserter(out), convert);
     return out;
@@ -47,7 +48,7 @@
     auto const value = in.asInt();
     if (value < 0)
     {
-        Json::throwRuntimeError("a count is negative");
+        Json::throwRuntimeError("negative count");
     }
     return value;
 }
@@ -57,7 +58,7 @@
     return std::clamp<std::int64_t>(in.asInt64(), 0, max_age_us);
 }
 
-/// @return -1 for an age that is not known
+/// @return the age, or -1 when it is unknown
 std::int64_t optional_age_from(Json::Value const &in)
 {
     return in.asInt64() < 0 ? -1 : age_from(in);
@@ -149,7 +150,10 @@
     return {list_from(in["hosts"], host_from)};
 }
 
-/// Reads a document by `read`; a fault in it becomes a status.
+/// Parses a JSON document and converts it with `read`.
+///
+/// @param what name of the document for the error message
+/// @return `invalid_request` when the document is malformed
 template <class Read>
 auto read_document(std::string const &text, char const *what, Read read)
     -> absl::StatusOr<decltype(read(Json::Value()))>
--- a/src/peer_messages.hpp
+++ b/src/peer_messages.hpp
@@ -18,20 +18,21 @@
 /// @return the JSON document of a heartbeat
 std::string heartbeat_to_text(heartbeat const &message);
 
-/// @return the heartbeat of a JSON document, or `invalid_request` when it is
-///         damaged, has a negative count or age, or has too many items
+/// @return the heartbeat in a JSON document, or `invalid_request` when it is
+///         malformed, has a negative count, or has too many items; ages are
+///         clamped to the range from 0 to one day
 absl::StatusOr<heartbeat> heartbeat_from_text(std::string const &text);
 
 /// @return the JSON document of the reply to `fetch_configuration`
 std::string configuration_reply_to_text(configuration_document const &document);
 
-/// @return the reply of a JSON document, or `invalid_request`
+/// @return the reply in a JSON document, or `invalid_request`
 absl::StatusOr<configuration_document>
 configuration_reply_from_text(std::string const &text);
 
-/// Reads the platform's list of hosts.
+/// Parses the platform's list of hosts.
 ///
-/// @return the report, or `invalid_request` when the document is damaged
+/// @return the report, or `invalid_request` when the document is malformed
 absl::StatusOr<membership_report>
 membership_report_from_text(std::string const &text);
 
--- a/src/peer_rpc_server.cpp
+++ b/src/peer_rpc_server.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-jsonrpc::Procedure procedure(char const *method)
+jsonrpc::Procedure procedure_of(char const *method)
 {
     return {method,
             jsonrpc::PARAMS_BY_NAME,
@@ -55,14 +55,16 @@
           static_cast<text_connector &>(*this)),
       state_(state), loop_(loop), keys_(keys)
 {
-    bindAndAddMethod(procedure(heartbeat_method), &peer_rpc_server::heartbeat);
-    bindAndAddMethod(procedure(fetch_configuration_method),
+    bindAndAddMethod(procedure_of(heartbeat_method),
+                     &peer_rpc_server::heartbeat);
+    bindAndAddMethod(procedure_of(fetch_configuration_method),
                      &peer_rpc_server::fetch_configuration);
 }
 
 std::string peer_rpc_server::respond(std::string const &request)
 {
-    // The library's own parser has a deeper bound on nesting.
+    // Checked before the call because the library's parser allows deeper
+    // nesting.
     if (request.size() > max_request_bytes || !json_from_text(request).ok())
     {
         return {};
@@ -79,7 +81,7 @@
     return response;
 }
 
-bool peer_rpc_server::is_new(peer_envelope const &call)
+bool peer_rpc_server::accept_counter(peer_envelope const &call)
 {
     auto &sender = senders_[call.sender];
     if (call.incarnation < sender.incarnation)
@@ -115,16 +117,20 @@
     if (!call.ok() || call->receiver != state_.identity.name ||
         !verify_envelope(*call, keys_))
     {
-        refuse(unauthenticated_error, "the call's signature is not valid");
+        refuse(unauthenticated_error,
+               "the call is malformed, for another daemon, or its "
+               "signature is not valid");
     }
     if (call->receiver_incarnation != state_.identity.incarnation)
     {
-        refuse(other_incarnation_error, "the daemon has another incarnation",
+        refuse(other_incarnation_error,
+               "the call names another incarnation of this daemon",
                reply_to(*call, "{}"));
     }
-    if (!is_new(*call))
+    if (!accept_counter(*call))
     {
-        refuse(unauthenticated_error, "the call was received before");
+        refuse(unauthenticated_error,
+               "the call was received before or is too old");
     }
     return *call;
 }
@@ -137,7 +143,7 @@
         message->incarnation != call.incarnation)
     {
         refuse(jsonrpc::Errors::ERROR_RPC_INVALID_PARAMS,
-               "the heartbeat is damaged");
+               "the heartbeat is malformed or not from the caller");
     }
     auto const sequence = message->sequence;
     loop_.input().heartbeats.push_back(*std::move(message));
--- a/src/peer_rpc_server.hpp
+++ b/src/peer_rpc_server.hpp
@@ -17,8 +17,9 @@
 class signing_keys;
 struct world;
 
-/// Connector that is given the text of each request and keeps the text of the
-/// response; the library's own connectors start threads.
+/// Connector without a transport: the owner passes in the text of each request,
+/// and the response is stored in a string. The connectors of the library start
+/// threads of their own.
 class text_connector : public jsonrpc::AbstractServerConnector
 {
 public:
@@ -31,27 +32,29 @@
     }
 };
 
-/// Answers the JSON-RPC calls of other daemons. A call is believed only when
-/// its signature is valid and its counter is new.
+/// Answers the JSON-RPC calls of other daemons. A call is accepted only when
+/// its signature is valid, it names this incarnation of the daemon, and its
+/// counter was not used before.
 class peer_rpc_server : private text_connector,
                         public jsonrpc::AbstractServer<peer_rpc_server>
 {
 public:
     /// @param state this daemon
-    /// @param loop takes the heartbeats
-    /// @param keys keys of the calls between daemons
+    /// @param loop receives the heartbeats
+    /// @param keys keys that sign the calls between daemons
     peer_rpc_server(world &state, daemon_loop &loop, signing_keys const &keys);
 
     /// @param request JSON-RPC request, or a batch of them
-    /// @return the response; empty for a request that is not JSON
+    /// @return the response; empty for a request that is too long or not JSON
     std::string respond(std::string const &request);
 
-    /// Most bytes of a request.
+    /// Longer requests are not parsed.
     static constexpr std::size_t max_request_bytes = std::size_t{1} << 20;
 
-    /// Error code of a call whose signature or counter is not valid.
+    /// JSON-RPC error code of a call whose signature or counter is not valid.
     static constexpr int unauthenticated_error = -32001;
-    /// Error code of a call to an earlier incarnation of this daemon.
+    /// JSON-RPC error code of a call that names another incarnation of this
+    /// daemon, such as the one before a restart.
     static constexpr int other_incarnation_error = -32002;
 
 private:
@@ -65,7 +68,7 @@
     void fetch_configuration(Json::Value const &in, Json::Value &out);
     peer_envelope authenticate(std::string const &method,
                                Json::Value const &in);
-    bool is_new(peer_envelope const &call);
+    bool accept_counter(peer_envelope const &call);
     Json::Value reply_to(peer_envelope const &call, std::string body) const;
 
     world &state_;
--- a/src/random_source.hpp
+++ b/src/random_source.hpp
@@ -6,8 +6,9 @@
 namespace agateledge
 {
 
-/// Seeded generator (SplitMix64). Its sequence is the same on every platform,
-/// unlike that of the distributions of the standard library.
+/// Seeded random number generator (SplitMix64). `below` and `uniform` give the
+/// same sequence on every platform, unlike the standard library's
+/// distributions.
 class random_source
 {
 public:
--- a/src/replay_window.cpp
+++ b/src/replay_window.cpp
@@ -8,17 +8,18 @@
     if (counter > highest_)
     {
         auto const distance = counter - highest_;
-        seen_ = distance >= width ? std::bitset<width>() : seen_ << distance;
-        seen_.set(0);
+        accepted_ =
+            distance >= width ? std::bitset<width>() : accepted_ << distance;
+        accepted_.set(0);
         highest_ = counter;
         return true;
     }
     auto const age = highest_ - counter;
-    if (counter == 0 || age >= width || seen_.test(age))
+    if (counter == 0 || age >= width || accepted_.test(age))
     {
         return false;
     }
-    seen_.set(age);
+    accepted_.set(age);
     return true;
 }
 
--- a/src/signing_keys.cpp
+++ b/src/signing_keys.cpp
@@ -69,10 +69,12 @@
                             { return line.size() < min_key_characters; });
     if (lines.empty() || too_short)
     {
-        return make_status(result_code::settings_invalid,
-                           "key file " + path + " needs one or more keys of " +
-                               std::to_string(min_key_characters) +
-                               " characters or more");
+        return make_status(
+            result_code::settings_invalid,
+            "key file " + path +
+                " must be readable and have one or more keys of " +
+                std::to_string(min_key_characters) +
+                " characters or more, one per line");
     }
     keys_ = std::move(lines);
     return absl::OkStatus();
--- a/src/signing_keys.hpp
+++ b/src/signing_keys.hpp
@@ -10,36 +10,37 @@
 namespace agateledge
 {
 
-/// HMAC-SHA256 keys: the first one signs and all verify, so that a key can be
-/// replaced while signatures of the old one are still in use.
+/// HMAC-SHA256 keys. The first key signs and all keys verify, so that a key can
+/// be rotated while signatures made with the old one are still in use.
 class signing_keys
 {
 public:
-    /// Makes one random key, valid in this process only.
+    /// Generates one random key, known to this process only.
     signing_keys();
 
     /// @param keys at least one key
     explicit signing_keys(std::vector<std::string> keys);
 
-    /// Reads the keys again, one a line. The old keys stay on a failure.
+    /// Replaces the keys by those in a file, one per line; empty lines are
+    /// ignored. On failure the old keys stay in use.
     ///
     /// @param path file with the keys
-    /// @return `settings_invalid` when the file has no key or a key of fewer
-    ///         than 16 characters
+    /// @return `settings_invalid` when the file cannot be read, has no key, or
+    ///         has a key of fewer than 16 characters
     absl::Status load(std::string const &path);
 
     /// @return signature of `text` by the first key, in hexadecimal
     std::string sign(std::string_view text) const;
 
-    /// @return true when any key made `signature` of `text`
+    /// @return true when `signature` was made for `text` with any of the keys
     bool verify(std::string_view text, std::string_view signature) const;
 
 private:
     std::vector<std::string> keys_;
 };
 
-/// Compares in a time that depends on the lengths alone, so that a caller
-/// cannot find a secret byte by byte.
+/// Compares in a time that depends only on the lengths, so that timing does not
+/// reveal a secret byte by byte.
 bool equal_in_constant_time(std::string_view left, std::string_view right);
 
 } // namespace agateledge
--- a/test/correctness/peer_rpc_test.cpp
+++ b/test/correctness/peer_rpc_test.cpp
@@ -1,6 +1,6 @@
-// Guards against calls between daemons that are forged, repeated, meant for
-// another daemon or another incarnation, and against heartbeats that change on
-// their way.
+// Guards against accepting calls between daemons that are forged, replayed, or
+// addressed to another daemon or another incarnation, and against heartbeats
+// that lose or change a field when they are encoded and decoded.
 #include "apply_configuration.hpp"
 #include "daemon_loop.hpp"
 #include "http_client.hpp"
--- a/test/error/peer_messages_fuzz_test.cpp
+++ b/test/error/peer_messages_fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a message of a peer or of the platform that crashes a daemon
-// or is believed although it is damaged.
+// Guards against a malformed message of a peer or of the platform that crashes
+// a daemon or is accepted.
 #include "daemon_loop.hpp"
 #include "json_text.hpp"
 #include "peer_messages.hpp"
