--- a/src/load_settings.cpp
+++ b/src/load_settings.cpp
@@ -63,7 +63,8 @@
     auto const *table = root.table("platform");
     if (table == nullptr)
     {
-        root.report("platform", "is missing; a table with `table` is expected");
+        root.report("platform",
+                    "is missing; must be a table with the key `table`");
         return;
     }
     auto reader = root.below(*table, "platform");
@@ -134,12 +135,12 @@
     reader.finish();
 }
 
-std::string numbered(char const *key, std::size_t position)
+std::string indexed_key(char const *key, std::size_t position)
 {
     return std::string(key) + "[" + std::to_string(position) + "]";
 }
 
-/// Reads each table of the list `key` by `read` into `out`.
+/// Reads each table of the array `key` with `read` and appends it to `out`.
 template <class Item, class Read>
 void read_list(settings_reader &root, char const *key, std::vector<Item> &out,
                Read read)
@@ -147,7 +148,7 @@
     auto const tables = root.tables(key);
     for (std::size_t i = 0; i < tables.size(); ++i)
     {
-        auto reader = root.below(*tables[i], numbered(key, i));
+        auto reader = root.below(*tables[i], indexed_key(key, i));
         Item item;
         read(reader, item);
         reader.finish();
@@ -175,8 +176,9 @@
     reader.read("model", out.model);
     if (out.plain == !out.model.empty())
     {
-        reader.report("model", out.plain ? "a plain service has no model"
-                                         : "a model service needs a model");
+        reader.report("model", out.plain
+                                   ? "must not be set for a plain service"
+                                   : "must be set unless the service is plain");
     }
 }
 
@@ -221,7 +223,7 @@
     read_engine_fields(reader, out);
 }
 
-/// Engines or endpoints that differ only in their number.
+/// Engines that differ only in the number in their name and in their port.
 struct numbered_group
 {
     std::string prefix;
@@ -246,8 +248,8 @@
     return group;
 }
 
-/// Adds the members of a group, each a copy of `pattern` with a name and an
-/// address of its own.
+/// Adds the members of a group: copies of `pattern`, each with its own name and
+/// address.
 template <class Item>
 void expand_group(numbered_group const &group, Item const &pattern,
                   std::vector<Item> &out)
@@ -267,7 +269,7 @@
     auto const tables = root.tables("engine_group");
     for (std::size_t i = 0; i < tables.size(); ++i)
     {
-        auto reader = root.below(*tables[i], numbered("engine_group", i));
+        auto reader = root.below(*tables[i], indexed_key("engine_group", i));
         auto const group = read_group(reader);
         engine_definition pattern;
         read_engine_fields(reader, pattern);
@@ -313,7 +315,7 @@
     {
         if (!item.name.empty() && !names.insert(item.name).second)
         {
-            root.report(key, "the name \"" + item.name + "\" is used twice");
+            root.report(key, "duplicate name \"" + item.name + "\"");
         }
     }
 }
@@ -348,7 +350,8 @@
         value.caller_address, value.operator_address, value.peer_address};
     if (listeners.size() != 3)
     {
-        root.report("listen", "the three listeners need different addresses");
+        root.report("listen",
+                    "callers, operators and peers need different addresses");
     }
 }
 
--- a/src/load_settings.hpp
+++ b/src/load_settings.hpp
@@ -13,13 +13,13 @@
 /// Reads and checks a settings file.
 ///
 /// @param file path of the TOML file
-/// @return the settings, or `settings_invalid` with all faults of the file, one
-///         a line: file, line, key and what is allowed
+/// @return the settings, or `settings_invalid` with all errors of the file, one
+///         per line: file, line, key and what is allowed
 absl::StatusOr<settings> load_settings(std::string const &file);
 
-/// As `load_settings`, from a text.
+/// Parses and checks the text of a settings file, as `load_settings` does.
 ///
-/// @param file name that the messages show
+/// @param file file name for the error messages
 absl::StatusOr<settings> parse_settings(std::string const &text,
                                         std::string const &file);
 
--- a/src/operator_listener.cpp
+++ b/src/operator_listener.cpp
@@ -20,10 +20,10 @@
 namespace
 {
 
-/// Statements that may wait for the table service at one time.
-constexpr std::size_t max_waiting = 256;
+/// Maximum number of statements that wait for the table service.
+constexpr std::size_t max_pending_statements = 256;
 
-/// Room for the JSON escapes of the longest statement.
+/// A JSON escape takes up to 6 bytes per byte of the statement.
 constexpr std::size_t max_body_bytes = 6 * max_statement_bytes + 1024;
 
 void reply_code(http_exchange &request, result_code code,
@@ -36,8 +36,8 @@
     request.reply(http_status(code), json_to_text(out));
 }
 
-/// Compares in a time that does not depend on where the texts differ.
-bool same_digest(std::string const &left, std::string const &right)
+/// Compares in a time that does not depend on where the digests differ.
+bool equal_digests(std::string const &left, std::string const &right)
 {
     if (left.size() != right.size())
     {
@@ -52,9 +52,10 @@
     return difference == 0;
 }
 
-/// @return the member `name` of the JSON body when it is a text
-absl::StatusOr<std::string> text_member(std::string const &body,
-                                        char const *name)
+/// @return the string member `name` of the JSON object `body`;
+///         `body_too_large` or `invalid_request` otherwise
+absl::StatusOr<std::string> string_member(std::string const &body,
+                                          char const *name)
 {
     if (body.size() > max_body_bytes)
     {
@@ -66,7 +67,7 @@
     {
         return make_status(result_code::invalid_request,
                            std::string("the body must be a JSON object with "
-                                       "the text \"") +
+                                       "the string \"") +
                                name + "\"");
     }
     return (*document)[name].asString();
@@ -128,53 +129,54 @@
     auto const digest = sha256_of(header.substr(scheme.size()));
     auto const found = std::ranges::find_if(
         operators_, [&digest](operator_settings const &item)
-        { return same_digest(item.token_sha256, digest); });
+        { return equal_digests(item.token_sha256, digest); });
     return found == operators_.end() ? "" : found->name;
 }
 
 void operator_listener::serve_statement(exchange const &request)
 {
-    auto const who = authenticate(*request);
-    if (who.empty())
+    auto const operator_name = authenticate(*request);
+    if (operator_name.empty())
     {
         reply_code(*request, result_code::unauthenticated,
-                   "no operator has this token");
+                   "the bearer token is missing or unknown");
         return;
     }
-    auto const text = text_member(request->body(), "text");
+    auto const text = string_member(request->body(), "text");
     if (request->method() != "POST" || !text.ok())
     {
         auto const code =
             text.ok() ? result_code::invalid_request : code_of(text.status());
         reply_code(*request, code,
-                   text.ok() ? "use POST"
+                   text.ok() ? "method not supported; use POST"
                              : std::string(text.status().message()));
         return;
     }
-    if (waiting_.size() >= max_waiting)
+    if (pending_.size() >= max_pending_statements)
     {
         reply_code(*request, result_code::queue_full,
-                   "too many statements wait for the table service");
+                   "too many statements are waiting for the table service");
         return;
     }
     operator_call_number const call(++last_call_);
     request->defer();
-    waiting_.emplace(call, waiting_call{request, daemon_loop::clock_now()});
-    request->on_closed([this, call] { waiting_.erase(call); });
+    pending_.emplace(call,
+                     pending_statement{request, daemon_loop::clock_now()});
+    request->on_closed([this, call] { pending_.erase(call); });
     loop_.input().operator_requests.push_back(
-        {call, who, *text, std::time(nullptr)});
+        {call, operator_name, *text, std::time(nullptr)});
 }
 
 void operator_listener::reply(operator_reply const &answer)
 {
-    auto const found = waiting_.find(answer.call);
-    if (found == waiting_.end())
+    auto const found = pending_.find(answer.call);
+    if (found == pending_.end())
     {
         return;
     }
     auto const call = found->second;
-    waiting_.erase(found);
-    statement_times_.add(daemon_loop::clock_now() - call.since);
+    pending_.erase(found);
+    statement_times_.add(daemon_loop::clock_now() - call.received_at);
     if (answer.code == result_code::ok)
     {
         call.request->reply(http_status(answer.code), answer.text);
@@ -188,10 +190,10 @@
     if (authenticate(*request).empty())
     {
         reply_code(*request, result_code::unauthenticated,
-                   "no operator has this token");
+                   "the bearer token is missing or unknown");
         return;
     }
-    auto const level = text_member(request->body(), "level");
+    auto const level = string_member(request->body(), "level");
     auto const status = level.ok() ? set_log_level(*level) : level.status();
     reply_code(*request, code_of(status),
                status.ok() ? "log level set" : std::string(status.message()));
--- a/src/operator_listener.hpp
+++ b/src/operator_listener.hpp
@@ -21,34 +21,36 @@
 class daemon_loop;
 struct world;
 
-/// Listener for operators, on an address of its own: POST /v1/statements and
-/// /v1/log-level with a bearer token, GET /healthz and /metrics without one.
+/// HTTP listener for operators, separate from that of the callers. Serves POST
+/// /v1/statements and /v1/log-level, which require a bearer token, and GET
+/// /healthz and /metrics, which do not.
 class operator_listener
 {
 public:
     /// @param state the daemon, for /healthz and /metrics
-    /// @param loop takes the statements
-    /// @param operators who may use the listener
+    /// @param loop receives the statements
+    /// @param operators operators whose tokens are accepted
     operator_listener(world const &state, daemon_loop &loop,
                       std::vector<operator_settings> operators);
 
-    /// Begins to listen.
+    /// Starts the listener.
     ///
-    /// @param address IP address and port; port 0 takes a free one
+    /// @param address IP address and port; port 0 selects a free one
     absl::Status start(std::string const &address);
 
     std::string address() const { return server_.address(); }
 
-    /// Sends the answer of a statement to the operator who waits for it.
+    /// Sends the result of a statement to the operator who sent it. Ignored
+    /// when the operator has closed the connection.
     void reply(operator_reply const &answer);
 
 private:
     using exchange = std::shared_ptr<http_exchange>;
 
-    struct waiting_call
+    struct pending_statement
     {
         exchange request;
-        instant since;
+        instant received_at;
     };
 
     std::string authenticate(http_exchange const &request) const;
@@ -60,7 +62,7 @@
     world const &state_;
     daemon_loop &loop_;
     std::vector<operator_settings> operators_;
-    std::unordered_map<operator_call_number, waiting_call> waiting_;
+    std::unordered_map<operator_call_number, pending_statement> pending_;
     std::uint64_t last_call_ = 0;
     latency_quantiles statement_times_;
     http_server server_;
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -21,7 +21,7 @@
     auto operator<=>(tls_settings const &) const = default;
 };
 
-/// Other daemon that this one starts with.
+/// Another daemon that is known at startup.
 struct peer_settings
 {
     std::string name;
@@ -31,7 +31,7 @@
     auto operator<=>(peer_settings const &) const = default;
 };
 
-/// Operator who may use the operators' listener.
+/// Operator who is accepted at the operators' listener.
 struct operator_settings
 {
     std::string name;
@@ -41,22 +41,22 @@
     auto operator<=>(operator_settings const &) const = default;
 };
 
-/// Bounds on what callers may send.
+/// Limits of the callers' listener.
 struct listener_limits
 {
     std::int64_t max_body_bytes = 4 * 1024 * 1024;
     std::int64_t max_header_bytes = 32 * 1024;
     int max_connections = 4096;
-    /// Time in which a caller must have sent its whole request.
+    /// Time within which a caller must have sent its complete request.
     duration request_timeout = seconds(20);
-    /// Answer bytes that may wait for a slow reader before the daemon stops
-    /// reading from the engine.
+    /// Answer bytes buffered for a slow caller before the daemon stops reading
+    /// from the engine.
     std::int64_t max_buffered_bytes = 64 * 1024;
 
     auto operator<=>(listener_limits const &) const = default;
 };
 
-/// Budgets towards the table service, for this daemon.
+/// Rate limits of this daemon's calls to the table service.
 struct store_limits
 {
     double writes_per_second = 60;
@@ -82,10 +82,10 @@
     std::string object_store_address;
     std::string weight_store_address;
     std::string membership_address;
-    /// File with the key that signs request ids, one key a line; the first one
-    /// signs, all verify. Read again on SIGHUP.
+    /// File with the keys that sign request ids, one per line; the first one
+    /// signs and all verify. Reloaded on SIGHUP.
     std::string request_key_file;
-    /// File with the keys that sign calls between daemons, in the same form.
+    /// File with the keys that sign calls between daemons, in the same format.
     std::string peer_key_file;
     std::vector<peer_settings> peers;
     std::vector<operator_settings> operators;
--- a/src/settings_reader.cpp
+++ b/src/settings_reader.cpp
@@ -17,10 +17,10 @@
 {
 
 template <class Number>
-std::string range_text(Number least, Number most)
+std::string range_text(Number min, Number max)
 {
     std::ostringstream text;
-    text << "from " << least << " to " << most;
+    text << "from " << min << " to " << max;
     return text.str();
 }
 
@@ -60,7 +60,7 @@
 
 toml::node const *settings_reader::find(char const *key)
 {
-    known_.insert(key);
+    read_keys_.insert(key);
     return table_.get(key);
 }
 
@@ -71,14 +71,14 @@
     {
         if (required)
         {
-            report(key, "is missing; a text is expected");
+            report(key, "is missing; must be a string");
         }
         return;
     }
     auto const text = node->value_exact<std::string>();
     if (!text || (required && text->empty()))
     {
-        report(key, "must be a text that is not empty");
+        report(key, "must be a non-empty string");
         return;
     }
     value = *text;
@@ -127,7 +127,8 @@
             { return std::isdigit(c) != 0 || (c >= 'a' && c <= 'f'); });
     if (!text.empty() && !valid)
     {
-        report(key, "must be a SHA-256 of 64 lower-case hexadecimal digits");
+        report(key,
+               "must be a SHA-256 digest of 64 lower-case hexadecimal digits");
         return;
     }
     value = text;
@@ -150,7 +151,7 @@
 }
 
 void settings_reader::read(char const *key, std::int64_t &value,
-                           std::int64_t least, std::int64_t most)
+                           std::int64_t min, std::int64_t max)
 {
     auto const *node = find(key);
     if (node == nullptr)
@@ -158,23 +159,23 @@
         return;
     }
     auto const number = node->value_exact<std::int64_t>();
-    if (!number || *number < least || *number > most)
+    if (!number || *number < min || *number > max)
     {
-        report(key, "must be a whole number " + range_text(least, most));
+        report(key, "must be an integer " + range_text(min, max));
         return;
     }
     value = *number;
 }
 
-void settings_reader::read(char const *key, int &value, int least, int most)
+void settings_reader::read(char const *key, int &value, int min, int max)
 {
     std::int64_t number = value;
-    read(key, number, std::int64_t{least}, std::int64_t{most});
+    read(key, number, std::int64_t{min}, std::int64_t{max});
     value = static_cast<int>(number);
 }
 
-void settings_reader::read(char const *key, double &value, double least,
-                           double most)
+void settings_reader::read(char const *key, double &value, double min,
+                           double max)
 {
     auto const *node = find(key);
     if (node == nullptr)
@@ -183,9 +184,9 @@
     }
     auto const number =
         node->is_number() ? node->value<double>() : std::optional<double>();
-    if (!number || !(*number >= least && *number <= most))
+    if (!number || !(*number >= min && *number <= max))
     {
-        report(key, "must be a number " + range_text(least, most));
+        report(key, "must be a number " + range_text(min, max));
         return;
     }
     value = *number;
@@ -193,17 +194,17 @@
 
 void settings_reader::read_milliseconds(char const *key, duration &value)
 {
-    constexpr std::int64_t most = milliseconds(hours(24)).count();
+    constexpr std::int64_t max = milliseconds(hours(24)).count();
     auto number = std::chrono::duration_cast<milliseconds>(value).count();
-    read(key, number, std::int64_t{0}, most);
+    read(key, number, std::int64_t{0}, max);
     value = milliseconds(number);
 }
 
 void settings_reader::read_seconds(char const *key, duration &value)
 {
-    constexpr double most = 24.0 * 3600;
+    constexpr double max = 24.0 * 3600;
     auto number = to_seconds(value);
-    read(key, number, 0.0, most);
+    read(key, number, 0.0, max);
     value = from_seconds(number);
 }
 
@@ -236,7 +237,7 @@
                     [](toml::node const &item) { return item.is_table(); });
     if (!valid)
     {
-        report(key, std::string("must be a list of tables: [[") + key + "]]");
+        report(key, std::string("must be an array of tables: [[") + key + "]]");
         return out;
     }
     std::transform(array->begin(), array->end(), std::back_inserter(out),
@@ -255,10 +256,10 @@
     for (auto const &[key, node] : table_)
     {
         std::string const name(key.str());
-        if (!known_.contains(name))
+        if (!read_keys_.contains(name))
         {
             std::string list;
-            std::ranges::for_each(known_,
+            std::ranges::for_each(read_keys_,
                                   [&list](std::string const &item) {
                                       list += (list.empty() ? "" : ", ") + item;
                                   });
@@ -302,7 +303,7 @@
     if (!stream)
     {
         return make_status(result_code::settings_invalid,
-                           file + ": cannot be read");
+                           file + ": cannot be opened");
     }
     return std::string((std::istreambuf_iterator<char>(stream)), {});
 }
--- a/src/settings_reader.hpp
+++ b/src/settings_reader.hpp
@@ -16,24 +16,24 @@
 namespace agateledge
 {
 
-/// Reads the keys of one TOML table and collects every fault with its file,
-/// line and key. Keys that nobody read are reported as unknown.
+/// Reads the keys of one TOML table and collects all errors with their file,
+/// line and key. Keys that were not read are reported as unknown.
 class settings_reader
 {
 public:
     /// @param table table to read; outlives the reader
-    /// @param file name of the file, for the messages
-    /// @param path key of the table within the file; empty for the root
-    /// @param faults list that faults are appended to
+    /// @param file file name for the error messages
+    /// @param path dotted key of the table within the file; empty for the root
+    /// @param faults list to which error messages are appended
     settings_reader(toml::table const &table, std::string file,
                     std::string path, std::vector<std::string> &faults);
 
-    /// Reads a text.
+    /// Reads a string.
     ///
-    /// @param required true when the key must be there
+    /// @param required true when the key must be present and not empty
     void read(char const *key, std::string &value, bool required = false);
 
-    /// Reads a text that must be one of `allowed`.
+    /// Reads a string that must be one of `allowed`.
     void read_choice(char const *key, std::string &value,
                      std::vector<std::string> const &allowed);
 
@@ -41,39 +41,41 @@
     void read_address(char const *key, std::string &value,
                       bool required = false);
 
-    /// Reads a SHA-256 in hexadecimal.
+    /// Reads a required SHA-256 digest: 64 lower-case hexadecimal digits.
     void read_sha256(char const *key, std::string &value);
 
     void read(char const *key, bool &value);
 
-    /// Reads a whole number from `least` to `most`.
-    void read(char const *key, std::int64_t &value, std::int64_t least,
-              std::int64_t most);
-    void read(char const *key, int &value, int least, int most);
+    /// Reads an integer from `min` to `max`.
+    void read(char const *key, std::int64_t &value, std::int64_t min,
+              std::int64_t max);
+    void read(char const *key, int &value, int min, int max);
 
-    /// Reads a number from `least` to `most`.
-    void read(char const *key, double &value, double least, double most);
+    /// Reads a number from `min` to `max`.
+    void read(char const *key, double &value, double min, double max);
 
-    /// Reads a time in milliseconds, from 0 to 24 hours.
+    /// Reads a duration in whole milliseconds, from 0 to 24 hours.
     void read_milliseconds(char const *key, duration &value);
 
-    /// Reads a time in seconds, with fractions, from 0 to 24 hours.
+    /// Reads a duration in seconds, with fractions, from 0 to 24 hours.
     void read_seconds(char const *key, duration &value);
 
     /// @return the table under `key`, or null when it is absent
     toml::table const *table(char const *key);
 
-    /// @return the tables of the array under `key`
+    /// @return the tables of the array under `key`; empty when it is absent
     std::vector<toml::table const *> tables(char const *key);
 
-    /// @return a reader for a table below this one
+    /// @return a reader for a table nested in this one; it shares the list of
+    ///         errors
     settings_reader below(toml::table const &table,
                           std::string const &key) const;
 
-    /// Reports a fault at the place of `key`, or of the table.
+    /// Adds an error with the line of `key`, or of the table when the key is
+    /// absent.
     void report(char const *key, std::string const &text);
 
-    /// Reports the keys that were not read.
+    /// Reports the keys of the table that were not read as unknown.
     void finish();
 
 private:
@@ -86,14 +88,14 @@
     std::string file_;
     std::string path_;
     std::vector<std::string> &faults_;
-    std::set<std::string> known_;
+    std::set<std::string> read_keys_;
 };
 
-/// Reads a settings text by `read` and reports all of its faults.
+/// Parses the text of a settings file and reads its root table with `read`.
 ///
-/// @param file name that the messages show
-/// @return `settings_invalid` with the faults, one a line: file, line, key and
-///         what is allowed
+/// @param file file name for the error messages
+/// @return `settings_invalid` with all errors, one per line: file, line, key
+///         and what is allowed
 absl::Status
 read_settings_text(std::string const &text, std::string const &file,
                    std::function<void(settings_reader &)> const &read);
--- a/test/correctness/example_settings_test.cpp
+++ b/test/correctness/example_settings_test.cpp
@@ -1,5 +1,5 @@
-// Guards against example settings that the loader refuses, or whose sizes
-// differ from those of the deployments.
+// Guards against example settings that the loader rejects, or whose numbers of
+// engines, endpoints and data centres differ from those of the deployments.
 #include "load_settings.hpp"
 #include "settings.hpp"
 
--- a/test/correctness/operator_listener_test.cpp
+++ b/test/correctness/operator_listener_test.cpp
@@ -1,5 +1,5 @@
-// Guards against an operators' listener that takes a statement without a token,
-// or that does not pass the answer back.
+// Guards against an operators' listener that accepts a statement without a
+// valid token, or that does not return the result of the statement.
 #include "caller_directory.hpp"
 #include "daemon_loop.hpp"
 #include "http_client.hpp"
@@ -17,7 +17,7 @@
 
 using namespace agateledge;
 
-constexpr gint64 patience_us = 5'000'000;
+constexpr gint64 reply_timeout_us = 5'000'000;
 
 class operator_listener_test : public testing::Test
 {
@@ -34,14 +34,15 @@
     http_reply send(http_request request)
     {
         request.address = listener.address();
-        std::optional<http_reply> got;
-        client.send(request, [&got](http_reply const &reply) { got = reply; });
-        auto const end = g_get_monotonic_time() + patience_us;
-        while (!got && g_get_monotonic_time() < end)
+        std::optional<http_reply> received;
+        client.send(request,
+                    [&received](http_reply const &reply) { received = reply; });
+        auto const end = g_get_monotonic_time() + reply_timeout_us;
+        while (!received && g_get_monotonic_time() < end)
         {
             g_main_context_iteration(nullptr, FALSE);
         }
-        return got.value_or(http_reply{});
+        return received.value_or(http_reply{});
     }
 
     http_reply post(std::string const &token, std::string body)
--- a/test/error/settings_faults_test.cpp
+++ b/test/error/settings_faults_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a settings file whose faults are reported one at a time,
-// without their place, or not at all.
+// Guards against errors in a settings file that are reported one at a time,
+// without their line and key, or not at all.
 #include "load_settings.hpp"
 #include "settings.hpp"
 
@@ -31,13 +31,13 @@
                                   "table = \"nowhere\"\n"
                                   "[limits]\n"
                                   "max_connections = 0\n");
-    expect_fault(faults, "test.toml:1: name: must be a text");
+    expect_fault(faults, "test.toml:1: name: must be a non-empty string");
     expect_fault(faults, "test.toml:2: data_center: unknown key");
     expect_fault(faults, "data_centre: is missing");
     expect_fault(faults, "test.toml:4: platform.table: \"nowhere\" is not an "
                          "IP address and port");
-    expect_fault(faults, "test.toml:6: limits.max_connections: must be a whole "
-                         "number from 1 to 100000");
+    expect_fault(faults, "test.toml:6: limits.max_connections: must be an "
+                         "integer from 1 to 100000");
 }
 
 TEST(settings_faults, contradictory_values_are_refused)
