--- a/src/bounded_appender.cpp
+++ b/src/bounded_appender.cpp
@@ -16,19 +16,20 @@
 namespace
 {
 
-/// Volume of each kind of lines, in bytes a second and in bytes at once: about
-/// 300 lines of each kind a second at the usual length.
+/// Rate and burst of each of the two byte budgets: about 300 lines per second
+/// at the usual length.
 constexpr double bytes_per_second = 96.0 * 1024;
 constexpr double burst_bytes = 512.0 * 1024;
 
-/// A pipe that is ready takes this many bytes without blocking.
-constexpr std::size_t most_line_bytes = PIPE_BUF;
+/// A pipe that poll() reports as writable takes this many bytes without
+/// blocking.
+constexpr std::size_t max_line_bytes = PIPE_BUF;
 
 } // namespace
 
 bounded_appender::bounded_appender(int descriptor)
-    : descriptor_(descriptor), details_(bytes_per_second, burst_bytes),
-      warnings_(bytes_per_second, burst_bytes)
+    : descriptor_(descriptor), info_budget_(bytes_per_second, burst_bytes),
+      warning_budget_(bytes_per_second, burst_bytes)
 {
 }
 
@@ -39,7 +40,8 @@
 
 bool bounded_appender::may_write(log4cplus::LogLevel level, std::size_t bytes)
 {
-    auto &bucket = level >= log4cplus::WARN_LOG_LEVEL ? warnings_ : details_;
+    auto &bucket =
+        level >= log4cplus::WARN_LOG_LEVEL ? warning_budget_ : info_budget_;
     return bucket.take(daemon_loop::clock_now(), static_cast<double>(bytes));
 }
 
@@ -54,29 +56,29 @@
     return written == static_cast<ssize_t>(line.size());
 }
 
-bool bounded_appender::tell_dropped()
+bool bounded_appender::log_dropped_lines()
 {
-    auto const untold = dropped_ - dropped_told_;
-    if (untold == 0)
+    auto const unreported = dropped_ - dropped_reported_;
+    if (unreported == 0)
     {
         return true;
     }
     auto const line = "{\"level\":\"warning\",\"event\":\"log_lines_dropped\","
                       "\"lines\":\"" +
-                      std::to_string(untold) + "\"}\n";
+                      std::to_string(unreported) + "\"}\n";
     if (!write_line(line))
     {
         return false;
     }
-    dropped_told_ = dropped_;
+    dropped_reported_ = dropped_;
     return true;
 }
 
 void bounded_appender::append(log4cplus::spi::InternalLoggingEvent const &event)
 {
     auto const &line = formatEvent(event);
-    if (line.size() > most_line_bytes ||
-        !may_write(event.getLogLevel(), line.size()) || !tell_dropped() ||
+    if (line.size() > max_line_bytes ||
+        !may_write(event.getLogLevel(), line.size()) || !log_dropped_lines() ||
         !write_line(line))
     {
         ++dropped_;
--- a/src/bounded_appender.hpp
+++ b/src/bounded_appender.hpp
@@ -11,13 +11,13 @@
 namespace agateledge
 {
 
-/// Writes log lines to a descriptor without ever waiting for its reader, and
-/// bounds their volume. Lines that the reader or the bound does not allow are
-/// dropped and counted; the next line that is written tells their number.
+/// Writes log lines to a descriptor without blocking, at a limited rate. Lines
+/// that exceed the rate, are too long, or would block are dropped and counted;
+/// their number is logged before the next line that is written.
 class bounded_appender : public log4cplus::Appender
 {
 public:
-    /// @param descriptor open for writing; stays open
+    /// @param descriptor open for writing; the appender does not close it
     explicit bounded_appender(int descriptor);
     ~bounded_appender() override;
 
@@ -29,14 +29,15 @@
 private:
     bool may_write(log4cplus::LogLevel level, std::size_t bytes);
     bool write_line(std::string const &line) const;
-    bool tell_dropped();
+    bool log_dropped_lines();
 
     int descriptor_;
-    /// Bytes of lines below and from the level `warning`.
-    token_bucket details_;
-    token_bucket warnings_;
+    /// Byte budget of the lines below the level `warning`.
+    token_bucket info_budget_;
+    /// Byte budget of the other lines, so that details cannot displace them.
+    token_bucket warning_budget_;
     std::uint64_t dropped_ = 0;
-    std::uint64_t dropped_told_ = 0;
+    std::uint64_t dropped_reported_ = 0;
 };
 
 } // namespace agateledge
--- a/src/command_options.cpp
+++ b/src/command_options.cpp
@@ -64,7 +64,8 @@
     {
         return std::nullopt;
     }
-    std::cerr << "the option --" << *missing << " is missing\n" << description_;
+    std::cerr << "the required option --" << *missing << " is missing\n"
+              << description_;
     return exit_usage;
 }
 
--- a/src/command_options.hpp
+++ b/src/command_options.hpp
@@ -12,9 +12,9 @@
 
 /// Exit codes of every subcommand; docs/result-codes.md lists them.
 constexpr int exit_success = 0;
-/// The command was understood and failed.
+/// The command line was valid, and the command failed.
 constexpr int exit_failure = 1;
-/// The command line or the settings are wrong.
+/// The command line or the settings are invalid.
 constexpr int exit_usage = 2;
 
 /// Options of one subcommand; each has --help and --version.
@@ -24,17 +24,18 @@
     /// @param title first line of the help text
     explicit command_options(std::string const &title);
 
-    /// @return the object that takes further options
+    /// @return an object that adds options when it is called
     boost::program_options::options_description_easy_init add();
 
-    /// Lets one option also be given without its name.
+    /// Allows an option to be given as a positional argument, without its name.
     void set_positional(char const *option);
 
-    /// Parses the arguments and prints what is wrong with them.
+    /// Parses the arguments. Prints the error and the help text when they are
+    /// invalid; handles --help and --version.
     ///
     /// @param arguments command line after the subcommand
-    /// @param required options that must be there
-    /// @return the exit code when the subcommand must end now
+    /// @param required names of options that must be given
+    /// @return the exit code when the process must exit, otherwise nothing
     std::optional<int> parse(std::vector<std::string> const &arguments,
                              std::vector<std::string> const &required = {});
 
--- a/src/internal_assert.hpp
+++ b/src/internal_assert.hpp
@@ -8,27 +8,28 @@
 namespace agateledge
 {
 
-/// Called with the message of a failed internal assertion. The default prints
-/// it and aborts; `long_run` installs one that prints the seed and the trace.
+/// Called with the message of a failed internal assertion. The default handler
+/// prints the message and aborts the process; `long_run` installs one that
+/// prints the seed and the trace.
 using assertion_handler = std::function<void(std::string const &)>;
 
 /// Replaces the handler of failed assertions.
 ///
-/// @param handler called in place of the default; an empty one restores it
+/// @param handler new handler; an empty one restores the default
 void set_assertion_handler(assertion_handler handler);
 
-/// Reports a failed assertion to the installed handler.
+/// Calls the installed handler with the message of a failed assertion.
 void report_assertion(std::string const &message);
 
-/// Checks a condition that only a fault in this program can break. Stays on in
-/// release builds.
+/// Checks a condition that only a bug in this program can violate. Also active
+/// in release builds.
 ///
-/// @param holds the condition
-/// @param parts text and values that make up the message
+/// @param condition reports a failed assertion when false
+/// @param parts strings and values that are concatenated to the message
 template <class... Parts>
-void internal_assert(bool holds, Parts const &...parts)
+void internal_assert(bool condition, Parts const &...parts)
 {
-    if (!holds) [[unlikely]]
+    if (!condition) [[unlikely]]
     {
         std::ostringstream text;
         (text << ... << parts);
--- a/src/json_log.cpp
+++ b/src/json_log.cpp
@@ -85,8 +85,8 @@
     auto &logger = root_logger();
     logger.removeAllAppenders();
     log4cplus::SharedAppenderPtr appender(new bounded_appender(descriptor));
-    // The message is a JSON object without its first brace, so that the layout
-    // can put the time in front.
+    // The message is a JSON object without its opening brace; the layout adds
+    // the brace and the time.
     appender->setLayout(std::make_unique<log4cplus::PatternLayout>(
         "{\"time\":\"%d{%Y-%m-%dT%H:%M:%S.%q}Z\",%m%n"));
     logger.addAppender(appender);
--- a/src/json_log.hpp
+++ b/src/json_log.hpp
@@ -11,24 +11,28 @@
 namespace agateledge
 {
 
-/// Prepares the log: one JSON object a line, by log4cplus. Writing never waits
-/// for the reader; see `bounded_appender`.
+/// Starts the log, which writes one JSON object per line. Writing never blocks
+/// on the reader; see `bounded_appender`.
 ///
 /// @param level "debug", "info", "warning" or "error"
-/// @param descriptor where lines are written; standard output by default
+/// @param descriptor descriptor that lines are written to; standard output by
+///        default
 /// @return `settings_invalid` for another level
 absl::Status start_log(std::string_view level, int descriptor = 1);
 
-/// Changes the level while the process runs.
+/// Changes the level of the running log.
+///
+/// @param level as for `start_log`
+/// @return `settings_invalid` for another level
 absl::Status set_log_level(std::string_view level);
 
-/// Writes one line.
+/// Writes one line when its level is enabled.
 ///
-/// @param daemon name of the daemon that the line is from
+/// @param daemon name of the daemon that logs the line
 void write_log_line(std::string const &daemon, log_entry const &entry);
 
 /// @return `entry` as one JSON object with the fields daemon, level, event and
-///         those of the entry; the time is added when it is written
+///         those of the entry; the time is added when the line is written
 std::string log_entry_to_json(std::string const &daemon,
                               log_entry const &entry);
 
--- a/src/raise_descriptor_limit.hpp
+++ b/src/raise_descriptor_limit.hpp
@@ -4,8 +4,8 @@
 namespace agateledge
 {
 
-/// Raises this process's own limit of open files to the most that the system
-/// allows it. A stream takes two: the caller's and the engine's connection.
+/// Raises the soft limit of open files to the hard limit. Each stream uses two
+/// descriptors: the caller's connection and the engine's.
 void raise_descriptor_limit();
 
 } // namespace agateledge
--- a/src/run_check.hpp
+++ b/src/run_check.hpp
@@ -7,7 +7,8 @@
 namespace agateledge
 {
 
-/// `agateledge check`: reads a settings file and prints its faults, if any.
+/// Runs `agateledge check`: reads a settings file and prints its errors, if
+/// any.
 ///
 /// @param arguments command line after the subcommand
 /// @return exit code: 0 when the file is valid, 2 otherwise
--- a/src/run_command_line.cpp
+++ b/src/run_command_line.cpp
@@ -23,13 +23,15 @@
 struct subcommand
 {
     std::string_view name;
-    std::string_view purpose;
+    std::string_view description;
     int (*run)(std::vector<std::string> const &arguments);
 };
 
 constexpr std::array subcommands{
     subcommand{"serve", "runs one entry daemon", run_serve},
-    subcommand{"relay", "runs one entry daemon behind the platform", run_relay},
+    subcommand{"relay",
+               "runs one entry daemon behind the platform's load balancer",
+               run_relay},
     subcommand{"dev", "runs daemons, stand-ins and a load in one process",
                run_dev},
     subcommand{"ctl", "sends an operator's statement to a daemon", run_ctl},
@@ -39,9 +41,11 @@
 void print_usage(std::ostream &out)
 {
     out << "usage: agateledge SUBCOMMAND [options]\n\nsubcommands:\n";
-    std::ranges::for_each(
-        subcommands, [&out](subcommand const &command)
-        { out << "  " << command.name << "\t" << command.purpose << "\n"; });
+    std::ranges::for_each(subcommands,
+                          [&out](subcommand const &command) {
+                              out << "  " << command.name << "\t"
+                                  << command.description << "\n";
+                          });
     out << "\n`agateledge SUBCOMMAND --help` lists its options.\n";
 }
 
--- a/src/run_command_line.hpp
+++ b/src/run_command_line.hpp
@@ -4,10 +4,10 @@
 namespace agateledge
 {
 
-/// Runs the subcommand that the command line names.
+/// Runs the subcommand given on the command line.
 ///
 /// @return exit code of the process: 0 for success, 1 for a failed command,
-///         2 for a wrong command line or wrong settings
+///         2 for an invalid command line or invalid settings
 int run_command_line(int argc, char **argv);
 
 } // namespace agateledge
--- a/src/run_ctl.cpp
+++ b/src/run_ctl.cpp
@@ -19,7 +19,8 @@
 namespace
 {
 
-/// Environment variable with the token, so that it is in no process list.
+/// The token is passed in the environment because process lists show command
+/// lines.
 constexpr char const *token_variable = "AGATELEDGE_TOKEN";
 constexpr duration answer_timeout = seconds(30);
 
@@ -84,7 +85,7 @@
     {
         std::cerr << address << ": no answer from the daemon"
                   << (reply.outcome == http_outcome::failed_after_send
-                          ? "; the statement may have been carried out"
+                          ? "; the statement may have been executed"
                           : "; the statement was not sent")
                   << "\n";
         return exit_failure;
@@ -108,8 +109,8 @@
                   "operators' listener of a daemon")(
         "statement", po::value<std::string>(), "statement to send")(
         "file", po::value<std::string>(),
-        "file with the statement; without it and without a statement, standard "
-        "input is read");
+        "file with the statement; standard input is read when neither a file "
+        "nor a statement is given");
     options.set_positional("statement");
     if (auto const code = options.parse(arguments))
     {
@@ -120,7 +121,7 @@
     if (token == nullptr || !statement)
     {
         std::cerr << (token == nullptr ? "AGATELEDGE_TOKEN is not set"
-                                       : "the file cannot be read")
+                                       : "the statement file cannot be opened")
                   << "\n";
         return exit_usage;
     }
--- a/src/run_dev.cpp
+++ b/src/run_dev.cpp
@@ -31,12 +31,13 @@
 namespace
 {
 
-/// Caller that `dev` adds to the configuration for its load.
+/// Token of the caller that `dev` adds to the configuration for its load.
 constexpr char const *load_token = "agateledge-dev-load";
 constexpr char const *load_token_sha256 =
     "aff5d1d3b72563bb80b91072bce0006e40da7f029c273b99417d49115cb434da";
 
-/// Loopback port that is free at the time of the call.
+/// @return a loopback address whose port was free at the time of the call;
+///         empty on failure
 std::string free_address()
 {
     http_server probe;
@@ -44,7 +45,8 @@
     return status.ok() ? probe.address() : std::string();
 }
 
-/// Key file that the daemons of this process share, removed at the end.
+/// Temporary file with a random key that all daemons of this process share;
+/// the destructor removes it.
 class shared_key_file
 {
 public:
@@ -54,7 +56,7 @@
         gchar *path = nullptr;
         auto const descriptor =
             g_file_open_tmp("agateledge-dev-XXXXXX", &path, &error);
-        internal_assert(descriptor >= 0, "no temporary key file: ",
+        internal_assert(descriptor >= 0, "cannot create a temporary key file: ",
                         error == nullptr ? "" : error->message);
         g_close(descriptor, nullptr);
         path_ = path;
@@ -88,7 +90,7 @@
     return names;
 }
 
-/// One deployment in one process: stand-ins, daemons and the load.
+/// A deployment in one process: stand-ins, daemons and the load.
 class dev_run
 {
 public:
@@ -113,36 +115,39 @@
         return start_daemons();
     }
 
-    /// Sends the load and waits for its end and for the daemons' stop.
+    /// Sends the load, then shuts the daemons down and waits until they have
+    /// stopped.
     void run(int requests, double per_second)
     {
         std::vector<std::string> addresses;
-        std::ranges::transform(members_, std::back_inserter(addresses),
+        std::ranges::transform(daemon_settings_, std::back_inserter(addresses),
                                &settings::caller_address);
         client_ = std::make_unique<load_client>(base_.initial, addresses,
                                                 load_token, seed_);
-        // The daemons fetch their configuration first.
+        // Gives the daemons time to fetch their configuration.
         constexpr guint start_delay_ms = 1500;
         start_load_ = [this, requests, per_second]
         { client_->start(requests, per_second, [this] { stop_daemons(); }); };
-        g_timeout_add(start_delay_ms, run_hook, &start_load_);
+        g_timeout_add(start_delay_ms, run_callback, &start_load_);
         progress_ = [this] { print_progress(); };
         constexpr guint progress_interval_ms = 2000;
         auto const progress =
-            g_timeout_add(progress_interval_ms, repeat_hook, &progress_);
+            g_timeout_add(progress_interval_ms, repeat_callback, &progress_);
         g_main_loop_run(loop_);
         g_source_remove(progress);
     }
 
-    /// Serves until the process is ended.
+    /// Serves callers until the process is killed.
     void serve()
     {
-        std::cout << "callers: " << members_.front().caller_address
-                  << "\noperators: " << members_.front().operator_address
-                  << std::endl;
+        std::cout << "callers: " << daemon_settings_.front().caller_address
+                  << "\noperators: "
+                  << daemon_settings_.front().operator_address << std::endl;
         g_main_loop_run(loop_);
     }
 
+    /// Prints the totals as JSON.
+    ///
     /// @return exit code
     int print_summary() const
     {
@@ -162,24 +167,26 @@
         out["duplicates"] = duplicates;
         out["role_changes"] = Json::UInt64(role_changes);
         std::cout << json_to_text(out) << std::endl;
-        bool const honest = totals.answered + totals.not_run == totals.requests;
-        return honest && duplicates == 0 ? exit_success : exit_failure;
+        bool const all_accounted_for =
+            totals.answered + totals.not_run == totals.requests;
+        return all_accounted_for && duplicates == 0 ? exit_success
+                                                    : exit_failure;
     }
 
 private:
-    static gboolean run_hook(gpointer hook)
+    static gboolean run_callback(gpointer callback)
     {
-        (*static_cast<std::function<void()> *>(hook))();
+        (*static_cast<std::function<void()> *>(callback))();
         return G_SOURCE_REMOVE;
     }
 
-    static gboolean repeat_hook(gpointer hook)
+    static gboolean repeat_callback(gpointer callback)
     {
-        (*static_cast<std::function<void()> *>(hook))();
+        (*static_cast<std::function<void()> *>(callback))();
         return G_SOURCE_CONTINUE;
     }
 
-    void plan_members()
+    void build_daemon_settings()
     {
         for (auto const &data_centre : data_centres_of(base_.initial))
         {
@@ -188,17 +195,17 @@
             member.data_centre = data_centre;
             member.request_key_file = keys_.path();
             member.peer_key_file = keys_.path();
-            if (!members_.empty())
+            if (!daemon_settings_.empty())
             {
                 member.caller_address = free_address();
                 member.operator_address = free_address();
                 member.peer_address = free_address();
             }
-            members_.push_back(std::move(member));
+            daemon_settings_.push_back(std::move(member));
         }
-        for (auto &member : members_)
+        for (auto &member : daemon_settings_)
         {
-            for (auto const &other : members_)
+            for (auto const &other : daemon_settings_)
             {
                 if (other.name != member.name)
                 {
@@ -211,8 +218,8 @@
 
     absl::Status start_daemons()
     {
-        plan_members();
-        for (auto const &member : members_)
+        build_daemon_settings();
+        for (auto const &member : daemon_settings_)
         {
             auto daemon = std::make_unique<daemon_process>(
                 member,
@@ -257,7 +264,7 @@
     shared_key_file keys_;
     standin_fleet fleet_;
     GMainLoop *loop_;
-    std::vector<settings> members_;
+    std::vector<settings> daemon_settings_;
     std::vector<std::unique_ptr<daemon_process>> daemons_;
     std::unique_ptr<load_client> client_;
     std::function<void()> start_load_;
@@ -265,7 +272,8 @@
     std::size_t running_ = 0;
 };
 
-absl::StatusOr<settings> load(std::string const &file)
+/// Loads the settings and starts the log on standard error.
+absl::StatusOr<settings> load_and_start_log(std::string const &file)
 {
     auto loaded = load_settings(file);
     if (!loaded.ok())
@@ -288,16 +296,17 @@
         po::value<std::string>()->default_value("examples/kerbrat.toml"),
         "TOML file of the deployment")(
         "load", po::value<int>()->default_value(0),
-        "requests to send; 0 serves until the process is ended")(
-        "rate", po::value<double>()->default_value(40.0), "requests a second")(
-        "seed", po::value<std::uint64_t>()->default_value(1),
-        "seed of the load");
+        "requests to send; with 0, serves until the process is killed")(
+        "rate", po::value<double>()->default_value(40.0),
+        "requests per second")("seed",
+                               po::value<std::uint64_t>()->default_value(1),
+                               "seed of the load");
     if (auto const code = options.parse(arguments))
     {
         return *code;
     }
     auto const &values = options.values();
-    auto loaded = load(values["settings"].as<std::string>());
+    auto loaded = load_and_start_log(values["settings"].as<std::string>());
     if (!loaded.ok())
     {
         std::cerr << loaded.status().message() << "\n";
--- a/src/run_main_loop.hpp
+++ b/src/run_main_loop.hpp
@@ -15,9 +15,9 @@
 };
 
 /// Runs the default GLib main loop until the daemon has stopped. SIGTERM and
-/// SIGINT begin its shutdown; SIGHUP reloads it.
+/// SIGINT start its shutdown; SIGHUP calls its `reload()`.
 ///
-/// @tparam Daemon has `shut_down()`, `reload()` and the hook `on_stopped`
+/// @tparam Daemon has `shut_down()`, `reload()` and the callback `on_stopped`
 template <class Daemon>
 void run_main_loop(Daemon &daemon)
 {
@@ -31,7 +31,7 @@
     };
     auto const reload = [](gpointer data) -> gboolean
     {
-        // A failure is logged there; the old settings stay.
+        // `reload()` logs a failure and keeps the old keys and certificates.
         static_cast<void>(static_cast<Daemon *>(data)->reload());
         return G_SOURCE_CONTINUE;
     };
--- a/src/run_serve.hpp
+++ b/src/run_serve.hpp
@@ -9,8 +9,8 @@
 
 struct settings;
 
-/// Runs one daemon until SIGTERM or SIGINT and its graceful shutdown. SIGHUP
-/// reads keys and certificates again.
+/// Runs one daemon until SIGTERM or SIGINT, then shuts it down gracefully.
+/// SIGHUP reloads keys and certificates.
 ///
 /// @param config settings of the daemon
 /// @return exit code: 0 after a graceful shutdown, 2 for settings that cannot
--- a/test/correctness/peer_rpc_test.cpp
+++ b/test/correctness/peer_rpc_test.cpp
@@ -168,7 +168,9 @@
         caller_loop.handlers.call_peer = [](peer_call const &) {};
     }
 
-    /// Runs the loop until `done` or for a second.
+    /// Runs the main loop until `done` returns true, for at most a second.
+    ///
+    /// @return the last result of `done`
     bool run_until(std::function<bool()> const &done)
     {
         auto const end = daemon_loop::clock_now() + seconds(1);
@@ -196,15 +198,15 @@
 
 TEST_F(peer_pair, learns_the_incarnation_and_then_exchanges_heartbeats)
 {
-    auto const heard = [this]
+    auto const received = [this]
     {
         auto const peer = caller.peers.states.find("daemon-2");
         return peer != caller.peers.states.end() && peer->second.heard_at;
     };
     call();
-    EXPECT_FALSE(run_until(heard));
+    EXPECT_FALSE(run_until(received));
     call();
-    EXPECT_TRUE(run_until(heard));
+    EXPECT_TRUE(run_until(received));
     EXPECT_EQ(callee.peers.states.at("daemon-1").revision, revision_number(12));
 }
 
--- a/test/error/operations_page_test.cpp
+++ b/test/error/operations_page_test.cpp
@@ -1,5 +1,6 @@
-// Guards against log events that the operators' page does not explain, and
-// against names of the platform's wire outside its folder.
+// Guards against log events of the proxy that docs/OPERATIONS.md does not list,
+// and against names of the platform's wire protocol in src/, which belong in
+// platform/ only.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/test/error/result_codes_page_test.cpp
+++ b/test/error/result_codes_page_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a result code that is missing from docs/result-codes.md or
-// whose row there says something else than the code.
+// Guards against a result code that is missing from docs/result-codes.md, or
+// whose row there has another name, HTTP status or not-run flag than the code.
 #include "result_code.hpp"
 
 #include <gtest/gtest.h>
@@ -29,9 +29,9 @@
 TEST(result_codes_page, has_one_row_for_each_code)
 {
     auto const page = read_page();
-    constexpr int highest = 999;
+    constexpr int max_code = 999;
     int rows = 0;
-    for (int number = 0; number <= highest; ++number)
+    for (int number = 0; number <= max_code; ++number)
     {
         if (!is_defined(number))
         {
