--- a/harness/fault_schedule.cpp
+++ b/harness/fault_schedule.cpp
@@ -20,19 +20,20 @@
 /// Mean time between two faults of one kind.
 constexpr double mean_interval_seconds = 6;
 
-/// Time within which a daemon learns a new configuration, and after which a
-/// draining target may get no new work.
-constexpr duration configuration_lag = seconds(4);
-constexpr duration drain_bound = seconds(5);
+/// Longest time until a daemon applies a new configuration, and the longest
+/// time after the start of a drain in which new work may still be sent to the
+/// target.
+constexpr duration max_configuration_lag = seconds(4);
+constexpr duration max_work_after_drain = seconds(5);
 
-/// Bound of a shutdown: two drain time-outs and the longest call.
-constexpr duration stop_bound = seconds(40);
+/// Two drain time-outs and the longest call.
+constexpr duration max_shutdown_time = seconds(40);
 
-constexpr duration usual_lag = milliseconds(300);
+constexpr duration default_load_report_lag = milliseconds(300);
 
 constexpr double half = 0.5;
 
-duration up_to(random_source &random, duration longest)
+duration random_duration(random_source &random, duration longest)
 {
     return duration(1 +
                     random.below(static_cast<std::uint64_t>(longest.count())));
@@ -74,8 +75,8 @@
 void fault_schedule::add(std::string const &name, std::uint64_t seed,
                          std::function<std::string(random_source &)> fire)
 {
-    auto const own = seed * 1000003 + kinds_.size();
-    kinds_.push_back({name, random_source(own), std::move(fire)});
+    auto const kind_seed = seed * 1000003 + kinds_.size();
+    kinds_.push_back({name, random_source(kind_seed), std::move(fire)});
 }
 
 void fault_schedule::after(duration delay, std::function<void()> action)
@@ -103,10 +104,11 @@
     auto &kind = kinds_[index];
     auto target = kind.fire(kind.random);
     fired_.push_back({deployment_.now(), kind.name, std::move(target)});
+    // One fault in five is followed by another of its kind within 500 ms.
     constexpr std::uint64_t one_in = 5;
     if (kind.random.below(one_in) == 0)
     {
-        after(up_to(kind.random, milliseconds(500)),
+        after(random_duration(kind.random, milliseconds(500)),
               [this, index]
               {
                   if (!ended_)
@@ -120,7 +122,7 @@
 std::string fault_schedule::hold(random_source &random, int &counter,
                                  duration longest)
 {
-    auto const length = up_to(random, longest);
+    auto const length = random_duration(random, longest);
     ++counter;
     after(length, [&counter] { --counter; });
     return std::to_string(length.count()) + " us";
@@ -142,12 +144,12 @@
 std::string fault_schedule::kill(random_source &random)
 {
     auto const index = pick_daemon(random);
-    auto const down = up_to(random, seconds(5));
+    auto const down = random_duration(random, seconds(5));
     auto const &daemon = deployment_.daemons()[index];
     if (daemon.alive)
     {
         deployment_.kill(index);
-        callers_.lose_daemon(index, false);
+        callers_.handle_daemon_end(index, false);
         after(down, [this, index] { deployment_.restart(index); });
     }
     return daemon.identity.name;
@@ -157,7 +159,7 @@
 {
     auto const index = pick_daemon(random);
     auto const &daemon = deployment_.daemons()[index];
-    auto const length = up_to(random, seconds(8));
+    auto const length = random_duration(random, seconds(8));
     if (daemon.alive && !daemon.paused)
     {
         deployment_.pause(index);
@@ -181,7 +183,7 @@
     if (daemon.alive)
     {
         deployment_.stop(index);
-        after(stop_bound,
+        after(max_shutdown_time,
               [this, index, incarnation = daemon.incarnation]
               {
                   auto const &stopped = deployment_.daemons()[index];
@@ -196,14 +198,14 @@
 std::string fault_schedule::cut(random_source &random, std::string const &one,
                                 std::string const &other)
 {
-    auto const length = up_to(random, seconds(10));
+    auto const length = random_duration(random, seconds(10));
     std::pair const link{one, other};
-    ++cut_depth_[link];
+    ++active_cuts_[link];
     deployment_.cuts.insert(link);
     after(length,
           [this, link]
           {
-              if (--cut_depth_[link] == 0)
+              if (--active_cuts_[link] == 0)
               {
                   deployment_.cuts.erase(link);
               }
@@ -229,9 +231,9 @@
     deployment_.store_configuration();
     for (auto &daemon : deployment_.daemons())
     {
-        // A daemon that hears of nothing else learns of a drain through the
-        // platform's list of leaving hosts, which lags.
-        after(up_to(random_, configuration_lag),
+        // A daemon that can reach neither the table service nor a peer learns
+        // of a drain from the platform's list of leaving hosts, which lags.
+        after(random_duration(random_, max_configuration_lag),
               [&daemon, config] { put_in_force(*daemon.state, config); });
     }
 }
@@ -239,10 +241,10 @@
 std::string fault_schedule::drain(random_source &random,
                                   std::string const &name)
 {
-    auto const length = seconds(4) + up_to(random, seconds(8));
+    auto const length = seconds(4) + random_duration(random, seconds(8));
     if (draining_since_.contains(name))
     {
-        return name + " already";
+        return name + " is already draining";
     }
     draining_since_[name] = deployment_.now();
     set_draining(name, true);
@@ -261,7 +263,8 @@
     auto const second = pick_daemon(random);
     for (auto const index : {first, second})
     {
-        // The change keeps the drains, which are set from outside.
+        // The proposal keeps the current drains, which only `set_draining`
+        // sets.
         auto next = deployment_.config();
         next.revision = deployment_.daemons()[index].state->config.revision;
         next.policy.retry_share = random.uniform() / 2;
@@ -270,12 +273,13 @@
     return std::to_string(first) + " and " + std::to_string(second);
 }
 
-void fault_schedule::check_target(std::string const &target) const
+void fault_schedule::check_not_draining(std::string const &target) const
 {
     auto const found = draining_since_.find(target);
     internal_assert(found == draining_since_.end() ||
-                        deployment_.now() - found->second <= drain_bound,
-                    "new work for ", target, " which drains for ",
+                        deployment_.now() - found->second <=
+                            max_work_after_drain,
+                    "new work for ", target, ", which has been draining for ",
                     found == draining_since_.end()
                         ? 0
                         : (deployment_.now() - found->second).count(),
@@ -333,7 +337,7 @@
             auto name = pick_engine(random);
             auto &options = deployment_.engines().at(name).model->options();
             options.speed = slow;
-            after(up_to(random, seconds(10)),
+            after(random_duration(random, seconds(10)),
                   [&options] { options.speed = 1.0; });
             return name;
         });
@@ -341,8 +345,9 @@
         [this](random_source &random)
         {
             auto &lag = deployment_.delays().load_report_lag;
-            lag = up_to(random, seconds(4));
-            after(up_to(random, seconds(8)), [&lag] { lag = usual_lag; });
+            lag = random_duration(random, seconds(4));
+            after(random_duration(random, seconds(8)),
+                  [&lag] { lag = default_load_report_lag; });
             return std::to_string(lag.count()) + " us";
         });
     add("event_disorder", seed,
@@ -360,7 +365,7 @@
         {
             auto name = pick(random);
             deployment_.closed_endpoints.insert(name);
-            after(up_to(random, seconds(3)),
+            after(random_duration(random, seconds(3)),
                   [this, name] { deployment_.closed_endpoints.erase(name); });
             return name;
         });
@@ -384,13 +389,13 @@
     add("reconnect", seed,
         [this](random_source &)
         {
-            callers_.reconnect_one();
+            callers_.reconnect_random_stream();
             return std::string();
         });
     add("repeat", seed,
         [this](random_source &)
         {
-            callers_.repeat_one();
+            callers_.repeat_random_booking();
             return std::string();
         });
 }
@@ -398,11 +403,11 @@
 void fault_schedule::install_hooks()
 {
     deployment_.on_send = [this](std::size_t, std::string const &target)
-    { check_target(target); };
+    { check_not_draining(target); };
     deployment_.on_stopped = [this](std::size_t index)
     {
-        callers_.lose_daemon(index, true);
-        after(up_to(random_, seconds(2)),
+        callers_.handle_daemon_end(index, true);
+        after(random_duration(random_, seconds(2)),
               [this, index] { deployment_.restart(index); });
     };
     deployment_.table_fault =
@@ -420,8 +425,9 @@
     };
     deployment_.late_write = [this]
     {
-        return random_.uniform() < half ? duration(0)
-                                        : up_to(random_, milliseconds(300));
+        return random_.uniform() < half
+                   ? duration(0)
+                   : random_duration(random_, milliseconds(300));
     };
     deployment_.event_fate = [this](engine_event const &)
     {
@@ -432,7 +438,7 @@
             fate.lost = random_.uniform() < rare;
             fate.doubled = random_.uniform() < rare;
             fate.delay = random_.uniform() < rare
-                             ? up_to(random_, milliseconds(400))
+                             ? random_duration(random_, milliseconds(400))
                              : duration(0);
         }
         return fate;
@@ -441,7 +447,7 @@
     {
         message_fate fate;
         fate.lost = lost_answers_ > 0 && random_.uniform() < half;
-        fate.delay = up_to(random_, milliseconds(40));
+        fate.delay = random_duration(random_, milliseconds(40));
         return fate;
     };
 }
--- a/harness/fault_schedule.hpp
+++ b/harness/fault_schedule.hpp
@@ -18,7 +18,7 @@
 class virtual_callers;
 class virtual_deployment;
 
-/// One fault that was fired, for the trace of a violation.
+/// One injected fault, for the report of a violation.
 struct fired_fault
 {
     instant when;
@@ -28,20 +28,22 @@
     auto operator<=>(fired_fault const &) const = default;
 };
 
-/// Fires faults at random moments, also several at once and the same one twice.
-/// Each kind has its own random numbers, so that a run without one kind keeps
-/// the times of the others.
+/// Injects faults at random times. Faults may overlap, also two of one kind.
+/// Each kind has its own random number generator, so that excluding one kind
+/// leaves the times of the others unchanged.
 class fault_schedule
 {
 public:
     /// @param deployment where the faults take effect
-    /// @param callers callers of daemons that end, who also fire faults
+    /// @param callers callers to be disconnected from daemons that end, and to
+    /// be
+    ///        made to reconnect or repeat requests
     /// @param seed seed of the times and targets
-    /// @param without kinds that are not fired
+    /// @param without kinds that are not injected
     fault_schedule(virtual_deployment &deployment, virtual_callers &callers,
                    std::uint64_t seed, std::set<std::string> const &without);
 
-    /// Fires no further faults; those that last end by themselves.
+    /// Stops injecting faults; those in effect end at their planned times.
     void end() { ended_ = true; }
 
     std::vector<fired_fault> const &fired() const { return fired_; }
@@ -62,7 +64,9 @@
     void plan(std::size_t kind);
     void fire(std::size_t kind);
     void after(duration delay, std::function<void()> action);
-    /// Keeps `counter` raised for a random time.
+    /// Increments `counter` for a random time of at most `longest`.
+    ///
+    /// @return that time as text
     std::string hold(random_source &random, int &counter, duration longest);
     std::size_t pick_daemon(random_source &random) const;
     std::string pick_engine(random_source &random) const;
@@ -83,7 +87,7 @@
     std::string drain(random_source &random, std::string const &name);
     void set_draining(std::string const &name, bool draining);
     std::string race_operators(random_source &random);
-    void check_target(std::string const &target) const;
+    void check_not_draining(std::string const &target) const;
 
     virtual_deployment &deployment_;
     virtual_callers &callers_;
@@ -91,7 +95,7 @@
     std::vector<fault_kind> kinds_;
     std::vector<fired_fault> fired_;
     std::map<std::string, instant> draining_since_;
-    std::map<std::pair<std::string, std::string>, int> cut_depth_;
+    std::map<std::pair<std::string, std::string>, int> active_cuts_;
     int lost_writes_ = 0;
     int store_outages_ = 0;
     int lost_answers_ = 0;
--- a/harness/randomised_run.cpp
+++ b/harness/randomised_run.cpp
@@ -14,13 +14,13 @@
 namespace
 {
 
-/// Mean time between two calls of all callers.
+/// Mean time between two calls over all callers.
 constexpr duration call_interval = milliseconds(40);
 
-/// Time after the last fault in which everything must have ended.
-constexpr duration settle_bound = seconds(200);
+/// Time after the end of fault injection within which all calls must end.
+constexpr duration max_settle_time = seconds(200);
 
-/// Fails a run at the first broken assertion.
+/// Turns a failed internal assertion into an exception while it exists.
 class assertion_scope
 {
 public:
@@ -34,8 +34,8 @@
     assertion_scope &operator=(assertion_scope const &) = delete;
 };
 
-std::vector<std::string> place_daemons(example_deployment const &example,
-                                       random_source &random)
+std::vector<std::string> assign_data_centres(example_deployment const &example,
+                                             random_source &random)
 {
     constexpr std::uint64_t choices = 4;
     auto const count = 2 + random.below(choices);
@@ -61,7 +61,7 @@
 
 void settle(virtual_deployment &deployment, virtual_callers const &callers)
 {
-    auto const end = deployment.now() + settle_bound;
+    auto const end = deployment.now() + max_settle_time;
     while (!all_settled(deployment, callers) && deployment.now() < end)
     {
         deployment.run_until(deployment.now() + milliseconds(500));
@@ -79,8 +79,8 @@
     assertion_scope const scope;
     random_source random(options.seed);
     auto const example = make_example_deployment(options.deployment);
-    virtual_deployment deployment(example.config,
-                                  place_daemons(example, random), random());
+    virtual_deployment deployment(
+        example.config, assign_data_centres(example, random), random());
     deployment.on_start = [&options](world &w) { w.faults = options.switches; };
     for (auto &daemon : deployment.daemons())
     {
--- a/harness/randomised_run.hpp
+++ b/harness/randomised_run.hpp
@@ -15,12 +15,12 @@
 struct run_options
 {
     std::uint64_t seed = 1;
-    /// Planned actions of the virtual queue while callers and faults are
-    /// active; the run then goes on until everything has ended.
+    /// Scheduled actions to run while callers and faults are active; the run
+    /// then continues until all calls have ended.
     std::uint64_t steps = 100000;
     /// "kerbrat" or "bellhaven".
     std::string deployment = "kerbrat";
-    /// Kinds of fault that are not fired.
+    /// Kinds of fault that are not injected.
     std::set<std::string> without;
     /// Mechanisms that are disabled in every daemon.
     fault_switches switches;
@@ -28,21 +28,21 @@
 
 struct run_result
 {
-    /// Empty when every promise was kept.
+    /// Message of the failed assertion; empty when there was none.
     std::string violation;
-    /// Steps taken, at a violation those up to it.
+    /// Actions run while callers and faults were active, up to a violation.
     std::uint64_t steps = 0;
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
     std::vector<fired_fault> faults;
 };
 
-/// Runs a few daemons with callers and faults in virtual time, and checks what
-/// callers are told against what happened.
+/// Runs several daemons with callers and faults in virtual time, and checks the
+/// replies to callers against the effects that took place.
 run_result run_randomly(run_options const &options);
 
-/// Looks for the smallest run that still fails: leaves out kinds of fault one
-/// by one and stops at the first violation.
+/// Reduces a failing run: excludes each kind of fault in turn if the run still
+/// fails without it, and ends the run at the violation.
 ///
 /// @param options a run that fails
 /// @return options of the smaller run
--- a/harness/virtual_callers.cpp
+++ b/harness/virtual_callers.cpp
@@ -14,15 +14,14 @@
 namespace
 {
 
-/// Time without news after which a caller tries another daemon.
-constexpr duration patience = seconds(20);
+/// Time without a reply after which a caller gives up a try and sends another.
+constexpr duration progress_timeout = seconds(20);
 
-/// Tries of a booking before its caller gives up.
-constexpr int most_booking_tries = 6;
+constexpr int max_booking_tries = 6;
 
-/// Calls beyond which no further one starts: with more, retries alone overload
-/// the few engines and a long run slows down with its backlog.
-constexpr std::size_t most_open_calls = 100;
+/// Limit of concurrent calls. With more, retries alone overload the few engines
+/// and the growing backlog slows down a long run.
+constexpr std::size_t max_open_calls = 100;
 
 constexpr int max_output_tokens = 4096;
 
@@ -53,7 +52,8 @@
             handle_effect(request);
         }
     };
-    // The length is part of the seed, so that every engine knows it.
+    // The answer's length is encoded in the seed, so that every engine
+    // generates the same answer.
     deployment_.output_tokens = [](engine_call const &call)
     { return static_cast<int>(call.seed % max_output_tokens); };
 }
@@ -73,7 +73,7 @@
                        {
                            return;
                        }
-                       if (open_calls_ < most_open_calls)
+                       if (open_calls_ < max_open_calls)
                        {
                            start_call();
                        }
@@ -174,12 +174,13 @@
     open_tries_.insert(number);
     auto const arrival = arrival_of(call);
     deployment_.submit(daemon, arrival);
-    watch(number, 0);
+    watch_progress(number, 0);
 }
 
-void virtual_callers::watch(request_number number, std::uint64_t progress)
+void virtual_callers::watch_progress(request_number number,
+                                     std::uint64_t progress)
 {
-    deployment_.at(deployment_.now() + patience,
+    deployment_.at(deployment_.now() + progress_timeout,
                    [this, number, progress]
                    {
                        auto &item = tries_.at(number);
@@ -189,7 +190,7 @@
                        }
                        if (item.progress != progress)
                        {
-                           watch(number, item.progress);
+                           watch_progress(number, item.progress);
                            return;
                        }
                        deployment_.depart(item.daemon, number);
@@ -220,7 +221,7 @@
     deployment_.at(deployment_.now() + delay, [this, index] { send(index); });
 }
 
-void virtual_callers::lose_daemon(std::size_t daemon, bool planned)
+void virtual_callers::handle_daemon_end(std::size_t daemon, bool planned)
 {
     auto const open = open_tries_;
     for (auto const number : open)
@@ -237,7 +238,7 @@
     }
 }
 
-void virtual_callers::reconnect_one()
+void virtual_callers::reconnect_random_stream()
 {
     for (auto const number : open_tries_)
     {
@@ -254,7 +255,7 @@
     }
 }
 
-void virtual_callers::repeat_one()
+void virtual_callers::repeat_random_booking()
 {
     for (auto const number : open_tries_)
     {
@@ -276,7 +277,7 @@
     item.had_effect = true;
     internal_assert(call.effects == 1, "booking ", call.key, " ran ",
                     call.effects, " times, last by request ", request.value());
-    internal_assert(!item.told_not_run, "request ", request.value(),
+    internal_assert(!item.reported_not_run, "request ", request.value(),
                     " ran after it was refused as not run");
 }
 
@@ -286,13 +287,13 @@
     auto const found = tries_.find(reply.request);
     internal_assert(found != tries_.end() && found->second.daemon == daemon,
                     "reply to request ", reply.request.value(),
-                    " of another daemon");
+                    " from a daemon that it was not sent to");
     auto &item = found->second;
     if (reply.kind == caller_reply_kind::refused && states_not_run(reply.code))
     {
-        item.told_not_run = true;
+        item.reported_not_run = true;
         internal_assert(!item.had_effect, "request ", reply.request.value(),
-                        " had an effect and is refused as not run");
+                        " had an effect but was refused as not run");
     }
     if (!item.open)
     {
@@ -323,12 +324,12 @@
 {
     auto &call = calls_.at(item.call);
     internal_assert(reply.offset == call.received, "request ",
-                    reply.request.value(), " has tokens from ", reply.offset,
-                    " after ", call.received);
+                    reply.request.value(), " has tokens from offset ",
+                    reply.offset, "; expected offset ", call.received);
     internal_assert(reply.text ==
                         expected_text(call.seed, reply.offset, reply.tokens),
                     "request ", reply.request.value(),
-                    " has another answer's text at ", reply.offset);
+                    " has wrong text at token ", reply.offset);
     call.received += reply.tokens;
 }
 
@@ -350,10 +351,10 @@
                             reply.text.find('"' + call.key + '"') !=
                                 std::string::npos,
                         "booking ", call.key, " with ", call.effects,
-                        " effects is answered ", reply.text);
+                        " effects was answered ", reply.text);
         if (!call.ended && random_.below(4) == 0)
         {
-            ask_outcome(item.call);
+            query_outcome(item.call);
         }
     }
     if (calls_.at(item.call).kind == call_kind::outcome)
@@ -363,13 +364,13 @@
     end_call(calls_.at(item.call));
 }
 
-void virtual_callers::ask_outcome(std::size_t booking)
+void virtual_callers::query_outcome(std::size_t booking)
 {
     caller_call query;
     query.kind = call_kind::outcome;
     query.key = calls_.at(booking).key;
     query.booking = booking;
-    query.tries_before = calls_.at(booking).tries;
+    query.booking_tries_at_query = calls_.at(booking).tries;
     calls_.push_back(std::move(query));
     ++open_calls_;
     try_again(calls_.size() - 1, milliseconds(1));
@@ -385,7 +386,7 @@
     internal_assert(!done || booking.effects == 1, "booking ", query.key,
                     " with ", booking.effects, " effects has outcome ", text);
     bool const tried_since =
-        booking.open_tries > 0 || booking.tries != query.tries_before;
+        booking.open_tries > 0 || booking.tries != query.booking_tries_at_query;
     internal_assert(!not_run || booking.effects == 0 || tried_since, "booking ",
                     query.key, " ran and has outcome ", text);
 }
@@ -401,17 +402,18 @@
         return;
     }
     internal_assert(reply.code != result_code::idempotency_key_reused,
-                    "booking ", call.key, " is taken for another");
+                    "booking ", call.key,
+                    " was refused because its idempotency key was reused");
     bool const retries = call.kind == call_kind::booking ||
                          reply.code == result_code::daemon_draining;
-    if (retries && call.tries < most_booking_tries && random_.below(5) != 0)
+    if (retries && call.tries < max_booking_tries && random_.below(5) != 0)
     {
         try_again(index, milliseconds(50 + random_.below(3000)));
         return;
     }
     if (call.kind == call_kind::booking && !call.ended)
     {
-        ask_outcome(index);
+        query_outcome(index);
     }
     end_call(calls_.at(index));
 }
--- a/harness/virtual_callers.hpp
+++ b/harness/virtual_callers.hpp
@@ -18,9 +18,9 @@
 
 class virtual_deployment;
 
-/// Callers of a virtual deployment. They retry bookings and resume answers at
-/// other daemons, and check everything that they are told against an oracle
-/// that sees the effects. A broken promise is reported as an assertion.
+/// Simulated callers of a virtual deployment. They retry bookings and resume
+/// answers at other daemons, and check every reply against an oracle that
+/// observes the effects. A violated guarantee fails an internal assertion.
 class virtual_callers
 {
 public:
@@ -30,29 +30,36 @@
     virtual_callers(virtual_deployment &deployment,
                     example_deployment const &example, std::uint64_t seed);
 
-    /// Plans calls from now on.
+    /// Starts the generation of calls.
     ///
-    /// @param interval mean time between two calls
+    /// @param interval mean time between two calls; the times are exponentially
+    ///        distributed
     void begin(duration interval);
 
     /// Starts no further calls.
     void end() { ended_ = true; }
 
-    /// Breaks the connections to a daemon.
+    /// Closes the connections to a daemon that has ended; their callers retry
+    /// at another daemon.
     ///
-    /// @param planned true when the daemon has shut down by itself
-    void lose_daemon(std::size_t daemon, bool planned);
+    /// @param planned true after a planned shutdown, which must leave no
+    /// request
+    ///        open
+    void handle_daemon_end(std::size_t daemon, bool planned);
 
-    /// Lets the caller of an open stream reconnect at another daemon.
-    void reconnect_one();
+    /// Lets the caller of a randomly chosen open stream reconnect, possibly at
+    /// another daemon.
+    void reconnect_random_stream();
 
-    /// Lets the caller of an open booking repeat it at another daemon.
-    void repeat_one();
+    /// Lets the caller of a randomly chosen open booking send it again,
+    /// possibly to another daemon.
+    void repeat_random_booking();
 
     /// @return true when every call has ended
     bool all_ended() const { return open_calls_ == 0; }
 
-    /// @return what is still open, for the message of a violation
+    /// @return description of the first open call for a violation's message, or
+    ///         "none"
     std::string open_call() const;
 
     std::uint64_t requests() const { return requests_; }
@@ -67,7 +74,7 @@
         outcome,
     };
 
-    /// What one caller wants, over all of its tries.
+    /// One call, which may take several tries.
     struct caller_call
     {
         call_kind kind = call_kind::model;
@@ -80,20 +87,21 @@
         int tries = 0;
         int open_tries = 0;
         int effects = 0;
-        /// For a query of an outcome: the booking, and its tries before.
+        /// For a query of an outcome: index of the booking, and how often it
+        /// had been tried when the query was created.
         std::size_t booking = 0;
-        int tries_before = 0;
+        int booking_tries_at_query = 0;
         bool ended = false;
     };
 
-    /// One request to one daemon.
+    /// One request to one daemon on behalf of a call.
     struct caller_try
     {
         std::size_t call = 0;
         std::size_t daemon = 0;
         bool open = true;
         bool had_effect = false;
-        bool told_not_run = false;
+        bool reported_not_run = false;
         std::uint64_t progress = 0;
     };
 
@@ -101,7 +109,7 @@
     void start_call();
     void send(std::size_t call);
     request_arrival arrival_of(caller_call const &call) const;
-    void watch(request_number request, std::uint64_t progress);
+    void watch_progress(request_number request, std::uint64_t progress);
     void close(request_number request);
     void end_call(caller_call &call);
     void try_again(std::size_t call, duration delay);
@@ -112,7 +120,7 @@
     void handle_outcome(caller_call const &query,
                         std::string const &text) const;
     void handle_effect(request_number request);
-    void ask_outcome(std::size_t booking);
+    void query_outcome(std::size_t booking);
 
     virtual_deployment &deployment_;
     example_deployment example_;
--- a/harness/virtual_deployment.cpp
+++ b/harness/virtual_deployment.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// Name of the platform among data centres.
+/// Name under which the platform's services are listed as a data centre.
 constexpr char const *platform = "platform";
 
 engine_event to_engine_event(attempt_number attempt, standin_event event)
@@ -215,7 +215,8 @@
         now_ = std::max(now_, end);
         return false;
     }
-    // The queue only lends its top; the action is moved out before the pop.
+    // std::priority_queue::top() is const; moving avoids a copy of the closure
+    // and is safe because the element is popped next.
     auto const next = std::move(const_cast<planned_action &>(queue_.top()));
     queue_.pop();
     now_ = next.when;
@@ -240,8 +241,8 @@
 {
     auto &daemon = daemons_[index];
     daemon.planned_tick = std::min(daemon.planned_tick, when);
-    // A queued check that comes earlier plans the later one, so that the queue
-    // does not fill with wake-ups that have been replaced.
+    // An earlier queued check schedules the later one, so that superseded
+    // wake-ups do not accumulate in the queue.
     auto &queued = daemon.queued_checks;
     if (!queued.empty() && *queued.begin() <= when)
     {
@@ -457,7 +458,8 @@
     {
         return;
     }
-    // The queue copies its actions, so that the events are shared.
+    // std::function requires a copyable closure; sharing the events avoids
+    // copying them.
     auto const batch =
         std::make_shared<std::vector<engine_event>>(std::move(events));
     deliver(origin, delay_to(origin.daemon, data_centre),
--- a/harness/virtual_deployment.hpp
+++ b/harness/virtual_deployment.hpp
@@ -30,14 +30,14 @@
     bool alive = true;
     bool paused = false;
     std::uint64_t incarnation = 1;
-    /// Time of the tick that is already planned.
+    /// Time of the next planned tick.
     instant planned_tick = instant::max();
-    /// Times at which the queue holds a check whether a tick is due.
+    /// Times for which a call of `check_tick` is queued.
     std::set<instant> queued_checks;
 };
 
-/// Sender of a message, to which the answer goes back. An answer to a daemon
-/// that has been restarted since is lost.
+/// Daemon incarnation that sent a message and receives the answer. An answer is
+/// dropped if the daemon has restarted in the meantime.
 struct virtual_origin
 {
     std::size_t daemon = 0;
@@ -46,7 +46,7 @@
     auto operator<=>(virtual_origin const &) const = default;
 };
 
-/// Reader of a stream of an engine.
+/// Attempt that receives the events of an engine's stream.
 struct virtual_reader
 {
     virtual_origin origin;
@@ -55,7 +55,7 @@
     auto operator<=>(virtual_reader const &) const = default;
 };
 
-/// What becomes of one message.
+/// Fault that is applied to one message; by default none.
 struct message_fate
 {
     bool lost = false;
@@ -72,11 +72,12 @@
     bool reachable = true;
     instant planned_step = instant::max();
     std::map<std::string, virtual_reader> readers;
-    /// Last cache event that was reported.
+    /// Sequence number of the last reported cache event.
     std::uint64_t cache_sequence = 0;
 };
 
-/// Delays of a virtual deployment, one way.
+/// Network delays (one way), time-outs and report intervals of a virtual
+/// deployment.
 struct virtual_delays
 {
     duration within_data_centre = microseconds(250);
@@ -86,18 +87,18 @@
     duration load_report_lag = milliseconds(300);
     /// Time after which a call without an answer counts as failed.
     duration call_timeout = seconds(2);
-    /// Time that a plain service takes for a call.
+    /// Time that a service without a model takes for a call.
     duration service_time = milliseconds(2);
     duration host_report_interval = seconds(2);
     /// Time after which a call between daemons counts as failed.
     duration peer_call_timeout = milliseconds(500);
-    /// Share of the batches of cache events that are lost.
+    /// Probability that a batch of cache events is lost.
     double cache_event_loss = 0.05;
 };
 
-/// Runs the shipped decision code of a few daemons against the stand-ins in
-/// virtual time. Messages are closures in one queue ordered by time; the same
-/// seed gives the same run.
+/// Discrete-event simulation that runs the production decision code of several
+/// daemons against stand-in engines and services in virtual time. Messages are
+/// closures in one queue ordered by time, so that a seed determines the run.
 class virtual_deployment
 {
 public:
@@ -108,34 +109,34 @@
                        std::vector<std::string> const &daemons,
                        std::uint64_t seed);
 
-    /// Plans `action` at `when`.
+    /// Schedules `action` at `when`, or now if `when` has passed.
     void at(instant when, std::function<void()> action);
 
-    /// Runs one planned action.
+    /// Runs the next scheduled action.
     ///
-    /// @return false when none is left before `end`
+    /// @return false when none is scheduled up to `end`
     bool step(instant end);
 
-    /// Runs until `end`.
+    /// Runs all actions scheduled up to `end`.
     void run_until(instant end);
 
-    /// Gives a request to a daemon; the answer arrives at `on_reply`.
+    /// Submits a request to a daemon; replies are passed to `on_reply`.
     void submit(std::size_t daemon, request_arrival arrival);
 
-    /// Tells a daemon that a caller closed its connection.
+    /// Reports to a daemon that the caller of a request closed its connection.
     void depart(std::size_t daemon, request_number request);
 
-    /// Ends a daemon at once; what it has not sent is lost.
+    /// Terminates a daemon immediately; its unsent output is lost.
     void kill(std::size_t daemon);
 
-    /// Starts a daemon that has ended, as a new incarnation without state.
+    /// Starts a terminated daemon again, as a new incarnation without state.
     void restart(std::size_t daemon);
 
-    /// Stops a daemon from running; messages to it are kept.
+    /// Suspends a daemon; messages to it are queued until `resume`.
     void pause(std::size_t daemon);
     void resume(std::size_t daemon);
 
-    /// Asks a daemon to shut down; `on_stopped` is called when it has ended.
+    /// Requests a planned shutdown; `on_stopped` is called when it is complete.
     void stop(std::size_t daemon);
 
     /// Writes `config()` to the table service as the current revision.
@@ -144,20 +145,20 @@
     /// Proposes a configuration at a daemon, as an operator does.
     void propose(std::size_t daemon, configuration next);
 
-    /// Loses all state of an engine and breaks its connections.
+    /// Discards all state of an engine and breaks its connections.
     void crash_engine(std::string const &name);
 
-    /// @return true when no message passes between the two data centres;
+    /// @return true when no message is delivered between the two data centres;
     ///         "platform" stands for the platform's services
     bool is_cut(std::string const &one, std::string const &other) const;
 
-    /// Pairs of data centres between which no message passes.
+    /// Pairs of data centres between which no message is delivered.
     std::set<std::pair<std::string, std::string>> cuts;
 
     /// Endpoints that refuse connections.
     std::set<std::string> closed_endpoints;
 
-    /// Configuration that restarted daemons begin with.
+    /// Initial configuration of restarted daemons.
     configuration &config() { return config_; }
 
     instant now() const { return now_; }
@@ -172,27 +173,29 @@
     /// Data centres that are cut off from the others.
     std::set<std::string> &isolated() { return isolated_; }
 
-    /// Hook for writes whose answer is lost: returns true when the write itself
-    /// is lost as well, so that it has no effect.
+    /// Hook for writes whose answer is lost: returns true when the write is
+    /// lost too and has no effect.
     std::function<bool(table_call const &)> table_loses;
 
-    /// The platform's list of hosts, which every daemon receives; empty for
-    /// none.
+    /// The platform's list of hosts, which is reported to every daemon; nothing
+    /// is reported while it is empty.
     std::vector<host_entry> &hosts() { return hosts_; }
 
-    /// Hook for partitions between daemons: returns false when nothing passes
-    /// from one to the other.
+    /// Hook for partitions between daemons: returns false when no message is
+    /// delivered from one to the other.
     std::function<bool(std::size_t from, std::size_t to)> daemon_reachable;
 
-    /// Hook for orders: returns the extra delay of each copy that reaches the
-    /// engine; without the hook one copy arrives without extra delay.
+    /// Hook for duplicated and delayed orders: returns the extra delay of each
+    /// copy that reaches the engine. Without it, one copy arrives without extra
+    /// delay.
     std::function<std::vector<duration>(engine_order const &)> order_copies;
 
     /// Called with each reply to an operator.
     std::function<void(std::size_t daemon, operator_reply const &)>
         on_operator_reply;
 
-    /// Called with each copy of an order that reached its engine.
+    /// Called with each copy of an order and its outcome, also when the engine
+    /// is unreachable.
     std::function<void(engine_order const &, order_outcome)> on_order;
 
     /// Called with each reply to a caller.
@@ -201,31 +204,34 @@
     /// Called when a daemon has shut down.
     std::function<void(std::size_t daemon)> on_stopped;
 
-    /// Called when work is sent to an engine or endpoint.
+    /// Called when a daemon sends a new engine call or a service call; not for
+    /// attaching to a stream.
     std::function<void(std::size_t daemon, std::string const &target)> on_send;
 
-    /// Called when a plain service carries out a call.
+    /// Called when a service has executed a call.
     std::function<void(std::size_t daemon, request_number,
                        service_call const &)>
         on_service_effect;
 
-    /// Fate of an engine's event on its way to the daemon.
+    /// Hook that returns the fault for an engine event sent to a daemon.
     std::function<message_fate(engine_event const &)> event_fate;
 
-    /// Fate of the answer of a plain service.
+    /// Hook that returns the fault for a service's answer.
     std::function<message_fate(service_call const &)> answer_fate;
 
-    /// Time after which a write with a lost answer takes effect.
+    /// Hook that returns the delay after which a write with a lost answer takes
+    /// effect.
     std::function<duration()> late_write;
 
-    /// Called with a new daemon before its first tick.
+    /// Called with the world of a started daemon before its first tick.
     std::function<void(world &)> on_start;
 
-    /// Length of the answer to a request, in tokens; by the request's seed.
+    /// Hook that returns the length of an answer in tokens; without it, the
+    /// call's maximum.
     std::function<int(engine_call const &)> output_tokens;
 
-    /// Hook through which faults change the fate of a message to the table
-    /// service: returns the outcome in place of the real one, or nothing.
+    /// Hook for faults of the table service: returns an outcome that replaces
+    /// the real one, or nothing.
     std::function<std::optional<table_outcome>(std::size_t daemon,
                                                table_call const &)>
         table_fault;
