--- a/harness/bench_oracle.cpp
+++ b/harness/bench_oracle.cpp
@@ -12,27 +12,28 @@
 namespace
 {
 
-/// Plan of the roles over a run.
+/// How the engines' roles are set during a run.
 struct oracle_plan
 {
     std::string name;
-    /// Engines with the role prefill for each unit of the share of prefill in
-    /// the work; 0 leaves the initial roles.
+    /// Ratio of the share of prefill engines to the share of prefill in the
+    /// work; 0 keeps the initial roles.
     double scale = 0;
-    /// Mixed engines at the start, as a share of all.
+    /// Initial share of mixed engines.
     double mixed = 0;
-    /// Share of prefill that the initial roles are made for.
+    /// Share of prefill in the work for which the initial roles are set.
     double initial_share = 0;
 };
 
-/// Engines with more prefill work than this take no further prompt yet, so that
-/// the order of the daemon's queue decides.
+/// Engines with a longer prefill backlog get no further prompt, so that
+/// requests wait in the daemon's queue, which orders them.
 constexpr double max_backlog_seconds = 0.3;
+/// Prompt tokens per second of a prefill engine at normal speed.
 constexpr double prefill_rate = 8560;
-/// Time ahead of the mix for which the roles are set.
-constexpr double lead_seconds = 12;
+/// Roles are set for the mix that the scenario has after this time.
+constexpr double plan_lead_seconds = 12;
 
-struct true_state
+struct engine_snapshot
 {
     engine_index index;
     standin_engine const *model = nullptr;
@@ -45,9 +46,10 @@
     return to_seconds(step) / options.speed;
 }
 
-/// @return seconds to the end of the answer, or the maximum without room
+/// @return seconds until the engine ends the request, or only its prefill on a
+///         prefill engine; the maximum value if the engine can't admit it
 double predict(bench_run const &run, request_state const &request,
-               true_state const &state)
+               engine_snapshot const &state)
 {
     constexpr auto none = std::numeric_limits<double>::max();
     auto const &options = state.model->options();
@@ -76,17 +78,18 @@
     {
         return none;
     }
-    auto const own = arrival.prompt_tokens -
-                     state.model->cached_prefix_tokens(
-                         arrival.prefix_hashes, arrival.prefix_block_tokens);
-    double const first = backlog + own / rate;
+    auto const uncached_tokens =
+        arrival.prompt_tokens -
+        state.model->cached_prefix_tokens(arrival.prefix_hashes,
+                                          arrival.prefix_block_tokens);
+    double const first = backlog + uncached_tokens / rate;
     return options.role == engine_role::prefill
                ? first
                : first + output * step_seconds(options, sequences + 1);
 }
 
-std::optional<engine_index> select_by_truth(bench_run &run, world &w,
-                                            request_state const &request)
+std::optional<engine_index> select_by_engine_state(bench_run &run, world &w,
+                                                   request_state const &request)
 {
     std::optional<engine_index> best;
     double best_time = std::numeric_limits<double>::max();
@@ -120,10 +123,10 @@
         [role](engine_state const &engine) { return engine.role() == role; }));
 }
 
-void follow_plan(bench_run &run, world &w, oracle_plan const &plan)
+void apply_plan(bench_run &run, world &w, oracle_plan const &plan)
 {
     auto const second = to_seconds(w.now.time_since_epoch());
-    auto const share = run.scenario().prompt_share(second + lead_seconds);
+    auto const share = run.scenario().prompt_share(second + plan_lead_seconds);
     auto const engines = static_cast<int>(w.engines.all().size());
     auto const wanted =
         std::clamp(static_cast<int>(std::lround(plan.scale * share * engines)),
@@ -140,20 +143,20 @@
         wanted > present ? engine_role::decode : engine_role::prefill;
     auto const to =
         wanted > present ? engine_role::prefill : engine_role::decode;
-    engine_state const *least = nullptr;
+    engine_state const *least_loaded = nullptr;
     for (auto const &engine : w.engines.all())
     {
         bool const fits = engine.role() == from && engine.report;
-        if (fits && (least == nullptr ||
-                     engine.report->running < least->report->running))
+        if (fits && (least_loaded == nullptr ||
+                     engine.report->running < least_loaded->report->running))
         {
-            least = &engine;
+            least_loaded = &engine;
         }
     }
-    if (least != nullptr)
+    if (least_loaded != nullptr)
     {
         engine_order order;
-        order.engine = least->definition.name;
+        order.engine = least_loaded->definition.name;
         order.role = to;
         w.hooks.order(w, order);
     }
@@ -174,13 +177,13 @@
     {
         auto &hooks = daemon.state->hooks;
         hooks.select = [&run](world &w, request_state const &request)
-        { return select_by_truth(run, w, request); };
+        { return select_by_engine_state(run, w, request); };
         hooks.plan_roles = [](world &) {};
     }
     if (plan.scale > 0)
     {
         run.deployment().daemons().front().state->hooks.plan_roles =
-            [&run, plan](world &w) { follow_plan(run, w, plan); };
+            [&run, plan](world &w) { apply_plan(run, w, plan); };
     }
     return run.run();
 }
@@ -201,13 +204,13 @@
         {"follow 1.2", 1.2, 0, begin},
         {"half mixed", 0, 0.5, (begin + middle) / 2}};
     bench_score best;
-    std::map<std::string, double> tried;
-    // At most this many runs at a time share the machine.
-    constexpr std::size_t parallel = 3;
-    for (std::size_t i = 0; i < plans.size(); i += parallel)
+    std::map<std::string, double> goodput_of_plan;
+    constexpr std::size_t max_concurrent_runs = 3;
+    for (std::size_t i = 0; i < plans.size(); i += max_concurrent_runs)
     {
         std::vector<std::future<bench_score>> running;
-        for (auto j = i; j < std::min(i + parallel, plans.size()); ++j)
+        for (auto j = i; j < std::min(i + max_concurrent_runs, plans.size());
+             ++j)
         {
             running.push_back(std::async(std::launch::async, run_plan, load,
                                          scenario, seed, plans[j]));
@@ -216,14 +219,14 @@
         for (auto &item : running)
         {
             auto score = item.get();
-            tried[plans.at(i + k++).name] = score.goodput;
+            goodput_of_plan[plans.at(i + k++).name] = score.goodput;
             if (score.goodput > best.goodput)
             {
                 best = std::move(score);
             }
         }
     }
-    best.plans = std::move(tried);
+    best.plans = std::move(goodput_of_plan);
     return best;
 }
 
--- a/harness/bench_oracle.hpp
+++ b/harness/bench_oracle.hpp
@@ -6,9 +6,9 @@
 namespace agateledge
 {
 
-/// Upper limit of the bench: routes by the engines' true state and the true
-/// lengths of the answers, knows the mix in advance, tries several plans of
-/// roles and keeps the best run.
+/// Reference policy with perfect information: routes by the engines' current
+/// state and the actual answer lengths, knows the mix in advance, runs several
+/// role plans and returns the score of the best.
 bench_score run_oracle(workload const &load, bench_scenario const &scenario,
                        std::uint64_t seed);
 
--- a/harness/bench_policies.cpp
+++ b/harness/bench_policies.cpp
@@ -15,8 +15,9 @@
 
 using engines = std::vector<engine_index>;
 
-/// @return engines that fit the request's phase by their role; all engines of
-///         the service when none fits
+/// @return engines that admit work and whose role suits the request's phase
+///         (prefill or decode); if there are none with such a role, the engines
+///         of the other role
 engines eligible(world &w, request_state const &request)
 {
     auto const &service = request.kind.service;
@@ -37,11 +38,12 @@
 }
 
 template <class Load>
-std::optional<engine_index> least(world &w, engines const &among, Load load)
+std::optional<engine_index> least_loaded(world &w, engines const &among,
+                                         Load load)
 {
     std::optional<engine_index> best;
     double best_load = std::numeric_limits<double>::max();
-    // A random start breaks ties without a preference for low indexes.
+    // A random starting index breaks ties without bias towards low indexes.
     auto const start = among.empty() ? 0 : w.random.below(among.size());
     for (std::size_t i = 0; i < among.size(); ++i)
     {
@@ -61,7 +63,7 @@
     return engine.own_requests;
 }
 
-double reported(engine_state const &engine)
+double reported_load(engine_state const &engine)
 {
     return engine.report ? engine.report->running + engine.report->waiting : 0;
 }
@@ -79,16 +81,17 @@
 std::optional<engine_index> pick_least_in_flight(world &w,
                                                  request_state const &request)
 {
-    return least(w, eligible(w, request), in_flight);
+    return least_loaded(w, eligible(w, request), in_flight);
 }
 
 std::optional<engine_index> pick_least_reported(world &w,
                                                 request_state const &request)
 {
-    return least(w, eligible(w, request), reported);
+    return least_loaded(w, eligible(w, request), reported_load);
 }
 
-std::optional<engine_index> pick_of_two(world &w, request_state const &request)
+std::optional<engine_index> pick_two_choices(world &w,
+                                             request_state const &request)
 {
     auto const first = pick_random(w, request);
     auto const second = pick_random(w, request);
@@ -96,11 +99,11 @@
     {
         return first;
     }
-    return least(w, {*first, *second}, in_flight);
+    return least_loaded(w, {*first, *second}, in_flight);
 }
 
-/// The engine with the highest hash of prefix and engine, unless it has far
-/// more in flight than the mean.
+/// Rendezvous hashing of the first prefix block, restricted to engines whose
+/// requests in flight don't far exceed the mean.
 std::optional<engine_index> pick_by_prefix(world &w,
                                            request_state const &request)
 {
@@ -154,7 +157,7 @@
 using selector =
     std::function<std::optional<engine_index>(world &, request_state const &)>;
 
-selector plain_selector(std::string const &policy)
+selector baseline_selector(std::string const &policy)
 {
     if (policy == "random")
     {
@@ -174,7 +177,7 @@
     }
     if (policy == "two_choices")
     {
-        return pick_of_two;
+        return pick_two_choices;
     }
     if (policy == "prefix_affinity")
     {
@@ -183,19 +186,20 @@
     return {};
 }
 
-void plug_in_plain(bench_run &run, std::string const &policy)
+void install_baseline_selector(bench_run &run, std::string const &policy)
 {
     for (auto &daemon : run.deployment().daemons())
     {
         auto &hooks = daemon.state->hooks;
-        hooks.select = plain_selector(policy);
+        hooks.select = baseline_selector(policy);
         hooks.plan_roles = [](world &) {};
         hooks.plain_queue = true;
     }
 }
 
-/// One daemon of each data centre holds its lease.
-void share_out_leases(bench_run &run)
+/// Makes the first daemon of each data centre the planner of that data centre,
+/// in place of the lease table.
+void assign_leases(bench_run &run)
 {
     std::map<std::string, std::string> holders;
     for (auto &daemon : run.deployment().daemons())
@@ -238,14 +242,14 @@
     {
         throw std::invalid_argument("no policy \"" + policy + "\"");
     }
-    if (plain_selector(policy))
+    if (baseline_selector(policy))
     {
-        plug_in_plain(run, policy);
+        install_baseline_selector(run, policy);
         return;
     }
     if (policy == "product")
     {
-        share_out_leases(run);
+        assign_leases(run);
         return;
     }
     for (auto &daemon : run.deployment().daemons())
--- a/harness/bench_policies.hpp
+++ b/harness/bench_policies.hpp
@@ -12,7 +12,7 @@
 /// @return the names of all policies: the product, the baselines, the oracle
 std::vector<std::string> policy_names();
 
-/// Sets the hooks of every daemon for a policy other than the oracle.
+/// Sets the decision hooks of every daemon for a policy other than the oracle.
 ///
 /// @throws std::invalid_argument for an unknown name
 void plug_in(bench_run &run, std::string const &policy);
--- a/harness/bench_run.cpp
+++ b/harness/bench_run.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-/// The estimates of a new daemon settle in this time; its requests are not
-/// scored.
+/// Requests that arrive in this time aren't scored, since the cost estimates of
+/// a new daemon have not converged.
 constexpr duration warm_up = seconds(10);
-constexpr duration run_out = seconds(60);
+constexpr duration max_completion_wait = seconds(60);
 constexpr double bookings_per_second = 2;
 constexpr std::uint64_t first_booking_number = 1ULL << 40U;
 
@@ -51,7 +51,7 @@
     return lengths_.at(request_seed);
 }
 
-bool bench_run::scored(instant when) const
+bool bench_run::is_scored(instant when) const
 {
     return when >= instant(warm_up);
 }
@@ -60,18 +60,18 @@
 {
     if (when < instant(scenario_.length))
     {
-        deployment_.at(when, [this] { arrive(); });
+        deployment_.at(when, [this] { submit_model_request(); });
     }
 }
 
-void bench_run::arrive()
+void bench_run::submit_model_request()
 {
     auto const now = deployment_.now();
     auto const second = to_seconds(now.time_since_epoch());
     auto const share = scenario_.prompt_share(second);
     auto request = source_.next(share);
     lengths_[request.arrival.seed] = request.output_tokens;
-    if (scored(now))
+    if (is_scored(now))
     {
         scores_.expect(request.arrival.request, request.arrival.class_name,
                        now);
@@ -87,25 +87,25 @@
 {
     if (when < instant(scenario_.length))
     {
-        deployment_.at(when, [this] { book(); });
+        deployment_.at(when, [this] { submit_booking(); });
     }
 }
 
-void bench_run::book()
+void bench_run::submit_booking()
 {
     auto const now = deployment_.now();
-    bool const books = random_.below(2) == 0;
+    bool const is_booking = random_.below(2) == 0;
     request_arrival arrival;
     arrival.request = request_number(first_booking_number + ++last_booking_);
     arrival.caller = "caller-1";
     arrival.service = "desk";
-    arrival.class_name = books ? "booking" : "booking-status";
-    arrival.method = books ? "POST" : "GET";
+    arrival.class_name = is_booking ? "booking" : "booking-status";
+    arrival.method = is_booking ? "POST" : "GET";
     arrival.path = "/bookings";
-    arrival.idempotent = !books;
+    arrival.idempotent = !is_booking;
     arrival.idempotency_key = "key-" + std::to_string(last_booking_);
     arrival.body = std::make_shared<std::string const>("{}");
-    if (scored(now))
+    if (is_scored(now))
     {
         scores_.expect(arrival.request, arrival.class_name, now);
     }
@@ -114,7 +114,7 @@
     plan_booking(now + from_seconds(exponential(random_, bookings_per_second)));
 }
 
-void bench_run::end_streams(std::string const &name, bool only_remote)
+void bench_run::break_streams(std::string const &name, bool only_remote)
 {
     auto &engine = deployment_.engines().at(name);
     for (auto reader = engine.readers.begin(); reader != engine.readers.end();)
@@ -147,12 +147,12 @@
     case scenario_fault::none:
         return;
     case scenario_fault::engine_withdrawn:
-        // The engine is taken away in the middle of the burst and for good.
+        // The engine is removed permanently, in the middle of the load burst.
         deployment_.at(begin + seconds(10),
                        [this, &engines, name]
                        {
                            engines.at(name).reachable = false;
-                           end_streams(name, false);
+                           break_streams(name, false);
                        });
         return;
     case scenario_fault::data_centre_cut:
@@ -164,7 +164,7 @@
                            {
                                bool const inside =
                                    state.data_centre == data_centre;
-                               end_streams(engine, inside);
+                               break_streams(engine, inside);
                            }
                        });
         deployment_.at(end, [this] { deployment_.isolated().clear(); });
@@ -185,24 +185,24 @@
     plan_booking(instant(milliseconds(2)));
     auto const end = instant(scenario_.length);
     deployment_.run_until(end);
-    while (scores_.open() > 0 && deployment_.now() < end + run_out)
+    while (scores_.open() > 0 && deployment_.now() < end + max_completion_wait)
     {
         deployment_.run_until(deployment_.now() + seconds(1));
     }
     auto score = scores_.total(to_seconds(scenario_.length - warm_up));
     score.role_changes = orders_.changes();
-    score.seconds_away = to_seconds(orders_.time_away());
+    score.seconds_away = to_seconds(orders_.time_unavailable());
     for (auto const &[name, engine] : deployment_.engines())
     {
         score.prefilled_tokens += engine.model->prefilled_tokens();
         score.cached_tokens += engine.model->cached_prompt_tokens();
         score.generated_tokens += engine.model->generated_tokens();
     }
-    note_learned(score);
+    record_learned_costs(score);
     return score;
 }
 
-void bench_run::note_learned(bench_score &score)
+void bench_run::record_learned_costs(bench_score &score)
 {
     auto &state = *deployment_.daemons().front().state;
     for (auto const role :
--- a/harness/bench_run.hpp
+++ b/harness/bench_run.hpp
@@ -16,7 +16,7 @@
 namespace agateledge
 {
 
-/// One run of a scenario with a policy in virtual time.
+/// Runs one scenario with one policy in virtual time.
 class bench_run
 {
 public:
@@ -24,8 +24,8 @@
     bench_run(workload const &load, bench_scenario scenario,
               std::uint64_t seed);
 
-    /// Runs the scenario to its end and then until the open requests ended, for
-    /// at most 60 s.
+    /// Runs the scenario, then waits up to 60 s of virtual time for open
+    /// requests to end.
     bench_score run();
 
     virtual_deployment &deployment() { return deployment_; }
@@ -38,12 +38,12 @@
 private:
     void plan_arrival(instant when);
     void plan_booking(instant when);
-    void arrive();
-    void book();
+    void submit_model_request();
+    void submit_booking();
     void plan_faults();
-    void end_streams(std::string const &engine, bool only_remote);
-    void note_learned(bench_score &score);
-    bool scored(instant when) const;
+    void break_streams(std::string const &engine, bool only_remote);
+    void record_learned_costs(bench_score &score);
+    bool is_scored(instant when) const;
 
     workload const &load_;
     bench_scenario scenario_;
--- a/harness/bench_scenario.cpp
+++ b/harness/bench_scenario.cpp
@@ -19,8 +19,8 @@
     return [value](double) { return value; };
 }
 
-/// One minute at the low share, one and a half up, one and a half at the high
-/// share, one down and one at the low share.
+/// Low share until 60 s, rising until 150 s, high share until 240 s, falling
+/// until 300 s, then the low share.
 double swing_share(double second)
 {
     auto const up = std::clamp((second - 60) / 90, 0.0, 1.0);
--- a/harness/bench_scenario.hpp
+++ b/harness/bench_scenario.hpp
@@ -10,12 +10,15 @@
 namespace agateledge
 {
 
-/// What happens to the engines in a scenario.
+/// Engine or network fault of a scenario.
 enum class scenario_fault
 {
     none,
+    /// An engine becomes unreachable permanently.
     engine_withdrawn,
+    /// A data centre is partitioned from the others.
     data_centre_cut,
+    /// An engine runs at a tenth of its speed without failing.
     engine_grey,
 };
 
@@ -24,8 +27,8 @@
 {
     std::string name;
     duration length = seconds(120);
-    /// Load as a share of the capacity, and share of prefill in the work, by
-    /// seconds since the start.
+    /// Load as a share of the capacity, and share of prefill in the work; both
+    /// as functions of the seconds since the start.
     std::function<double(double)> load;
     std::function<double(double)> prompt_share;
     scenario_fault fault = scenario_fault::none;
--- a/harness/bench_score.cpp
+++ b/harness/bench_score.cpp
@@ -53,10 +53,10 @@
 {
     auto const &kind = *request.kind;
     auto &score = classes_[kind.name];
-    auto const whole = now - request.arrived_at;
+    auto const total_time = now - request.arrived_at;
     bool in_time =
-        kind.finish_deadline.count() == 0 || whole <= kind.finish_deadline;
-    score.finish.push_back(to_seconds(whole));
+        kind.finish_deadline.count() == 0 || total_time <= kind.finish_deadline;
+    score.finish.push_back(to_seconds(total_time));
     if (request.tokens > 0)
     {
         auto const first = request.first_token_at - request.arrived_at;
@@ -81,15 +81,15 @@
     {
         ++out.classes[request.kind->name].unfinished;
     }
-    double wanted = 0;
-    double reached = 0;
+    double total_weight = 0;
+    double in_time_weight = 0;
     for (auto const &[name, score] : classes_)
     {
-        wanted += kinds_.at(name).weight * score.requests;
-        reached += kinds_.at(name).weight * score.in_time;
+        total_weight += kinds_.at(name).weight * score.requests;
+        in_time_weight += kinds_.at(name).weight * score.in_time;
     }
-    out.goodput = wanted > 0 ? reached / wanted : 0;
-    out.goodput_per_second = reached / seconds;
+    out.goodput = total_weight > 0 ? in_time_weight / total_weight : 0;
+    out.goodput_per_second = in_time_weight / seconds;
     out.wasted_tokens = wasted_tokens_;
     return out;
 }
--- a/harness/bench_score.hpp
+++ b/harness/bench_score.hpp
@@ -13,7 +13,8 @@
 namespace agateledge
 {
 
-/// Times of the answered requests of one class, in seconds, and its counts.
+/// Request counts of one class, and latencies of its answered requests in
+/// seconds.
 struct class_score
 {
     int requests = 0;
@@ -29,16 +30,19 @@
 /// Result of one bench run.
 struct bench_score
 {
-    /// Weighted share of the requests that were answered whole and in time.
+    /// Weighted share of the requests that were answered completely and within
+    /// their deadlines.
     double goodput = 0;
-    /// The same as a weighted rate, for comparisons between loads.
+    /// Weighted number of such requests per second, for comparing runs with
+    /// different loads.
     double goodput_per_second = 0;
     std::map<std::string, class_score> classes;
     int role_changes = 0;
-    /// What the first daemon had learned at the end of the run, by name.
+    /// Cost estimates of the first daemon at the end of the run, by name.
     std::map<std::string, double> learned;
-    /// Goodput of each plan of roles that the oracle tried.
+    /// Goodput of each role plan that the oracle tried, by name.
     std::map<std::string, double> plans;
+    /// Total time that engines spent draining and changing roles.
     double seconds_away = 0;
     std::int64_t prefilled_tokens = 0;
     std::int64_t cached_tokens = 0;
@@ -47,17 +51,17 @@
     std::int64_t wasted_tokens = 0;
 };
 
-/// Follows the replies to the requests of a run.
+/// Computes the score of a run from its requests and replies.
 class score_board
 {
 public:
     explicit score_board(configuration const &config);
 
-    /// Adds a request that counts.
+    /// Registers a request to be scored.
     void expect(request_number request, std::string const &class_name,
                 instant now);
 
-    /// Takes note of a reply.
+    /// Records a reply; replies to unregistered requests are ignored.
     void record(caller_reply const &reply, instant now);
 
     /// @return requests that have not ended
@@ -83,7 +87,9 @@
     std::int64_t wasted_tokens_ = 0;
 };
 
-/// @return the value below which `share` of the values lie; 0 for none
+/// @param share from 0 to 1
+/// @return the value at rank `share` * (n - 1), rounded down, of the n sorted
+///         values; 0 if there are none
 double percentile(std::vector<double> values, double share);
 
 } // namespace agateledge
--- a/harness/order_board.cpp
+++ b/harness/order_board.cpp
@@ -7,7 +7,7 @@
 {
 
 constexpr duration poll_interval = milliseconds(100);
-/// Time after which the change is sent although streams are left.
+/// Time after which the order is sent even if streams are still open.
 constexpr duration drain_timeout = seconds(60);
 
 } // namespace
@@ -51,14 +51,14 @@
         change.sent = true;
         ++changes_;
     }
-    std::vector<standin_event> none;
+    std::vector<standin_event> events;
     if (change.sent && empty)
     {
-        model.advance(now, none);
+        model.advance(now, events);
     }
     if (change.sent && model.load().ready)
     {
-        time_away_ += now - change.begun;
+        time_unavailable_ += now - change.begun;
         open_.erase(engine);
         mark(engine, false);
         return;
--- a/harness/order_board.hpp
+++ b/harness/order_board.hpp
@@ -10,9 +10,10 @@
 namespace agateledge
 {
 
-/// Carries out role changes directly on the engine stand-ins of a bench run: it
-/// drains the engine, sends the order and lets work return. It stands for the
-/// recorded orders of the table service, which the bench does not measure.
+/// Applies role changes directly to the stand-in engines of a bench run: drains
+/// the engine, sends the order and readmits work once the engine is ready. It
+/// replaces the order records in the table service, which the bench does not
+/// measure.
 class order_board
 {
 public:
@@ -21,15 +22,15 @@
     {
     }
 
-    /// Takes up a role change.
+    /// Starts a role change.
     ///
-    /// @return false when a change of the engine is under way
+    /// @return false when a change of the engine is already in progress
     bool take(engine_order const &order);
 
     int changes() const { return changes_; }
 
-    /// @return time that engines spent draining and changing
-    duration time_away() const { return time_away_; }
+    /// @return total time that engines spent draining and changing roles
+    duration time_unavailable() const { return time_unavailable_; }
 
 private:
     struct change
@@ -45,7 +46,7 @@
     virtual_deployment &deployment_;
     std::map<std::string, change> open_;
     int changes_ = 0;
-    duration time_away_{};
+    duration time_unavailable_{};
 };
 
 } // namespace agateledge
--- a/harness/role_baselines.cpp
+++ b/harness/role_baselines.cpp
@@ -13,7 +13,7 @@
 {
 
 constexpr duration plan_interval = seconds(5);
-/// Waiting prompt tokens and running sequences that count as one busy engine.
+/// Waiting prompt tokens and sequences that make the load of one engine 1.
 constexpr double busy_prefill_tokens = 3000;
 constexpr double busy_sequences = 55;
 
@@ -43,26 +43,27 @@
     return out;
 }
 
-bool change_one(world &w, engine_role from, engine_role to)
+bool change_least_loaded(world &w, engine_role from, engine_role to)
 {
-    engine_state const *least = nullptr;
+    engine_state const *least_loaded = nullptr;
     for (auto const &engine : w.engines.all())
     {
         if (!engine.takes_work() || engine.role() != from || !engine.report)
         {
             continue;
         }
-        if (least == nullptr || engine.report->running < least->report->running)
+        if (least_loaded == nullptr ||
+            engine.report->running < least_loaded->report->running)
         {
-            least = &engine;
+            least_loaded = &engine;
         }
     }
-    if (least == nullptr)
+    if (least_loaded == nullptr)
     {
         return false;
     }
     engine_order order;
-    order.engine = least->definition.name;
+    order.engine = least_loaded->definition.name;
     order.role = to;
     return w.hooks.order(w, order);
 }
@@ -89,12 +90,12 @@
     if (prefill.mean() > high && prefill.mean() > decode.mean() &&
         decode.engines > 1)
     {
-        change_one(w, engine_role::decode, engine_role::prefill);
+        change_least_loaded(w, engine_role::decode, engine_role::prefill);
     }
     else if (decode.mean() > high && decode.mean() > prefill.mean() &&
              prefill.engines > 1)
     {
-        change_one(w, engine_role::prefill, engine_role::decode);
+        change_least_loaded(w, engine_role::prefill, engine_role::decode);
     }
 }
 
@@ -113,11 +114,11 @@
                    1, engines - 1);
     for (int i = prefill.engines; i < wanted; ++i)
     {
-        change_one(w, engine_role::decode, engine_role::prefill);
+        change_least_loaded(w, engine_role::decode, engine_role::prefill);
     }
     for (int i = prefill.engines; i > wanted; --i)
     {
-        change_one(w, engine_role::prefill, engine_role::decode);
+        change_least_loaded(w, engine_role::prefill, engine_role::decode);
     }
 }
 
--- a/harness/role_baselines.hpp
+++ b/harness/role_baselines.hpp
@@ -8,13 +8,13 @@
 
 struct world;
 
-/// Baseline that changes one engine's role whenever the prefill engines' queue
-/// or the decode engines' batch passes a threshold. It plans for all data
-/// centres from one daemon.
+/// Role planner that changes the role of one engine per interval when the mean
+/// load of the prefill or of the decode engines exceeds a threshold. It plans
+/// for all data centres from one daemon.
 std::function<void(world &)> make_threshold_roles();
 
-/// Baseline that sets the roles to the split which the last seconds' reported
-/// load asks for, with as many changes as that needs.
+/// Role planner that splits the engines in proportion to the last reported
+/// prefill and decode loads, with any number of changes per interval.
 std::function<void(world &)> make_greedy_roles();
 
 } // namespace agateledge
--- a/harness/workload.cpp
+++ b/harness/workload.cpp
@@ -12,14 +12,15 @@
 {
 
 /// Nominal cost of a prompt token and of an output token, in engine seconds.
-/// They fix the mix and the load of a scenario; no decision reads them.
+/// They define the mix and the load of a scenario; the daemons don't use them.
 constexpr double prompt_token_cost = 1.0 / 8500;
 constexpr double output_token_cost = 1.0 / 1700;
 
 constexpr double prompt_sigma = 0.4;
 constexpr double output_sigma = 0.5;
 
-/// Prompts of one document share its leading part.
+/// Prompts about the same document share a prefix. Documents are chosen by a
+/// Pareto distribution.
 constexpr int documents = 60;
 constexpr double document_exponent = 0.9;
 constexpr double document_part = 0.4;
@@ -182,11 +183,11 @@
         name == "kerbrat" ? make_kerbrat(engines) : make_bellhaven(engines);
     out.config.revision = revision_number(1);
     out.config.services = {{"assistant", false, "manual"}, {"desk", true, ""}};
-    // Sized for the mean mix of the swing, where the best plain baseline does
-    // best with it.
+    // Suits the mean mix of the "swing" scenario: the best simple baseline has
+    // its highest goodput there with this share.
     constexpr double prefill_share = 0.4;
     assign_roles(out.config, static_cast<int>(prefill_share * engines), 0);
-    // Measured by the oracle, see docs/measurements.md.
+    // Load per engine that the oracle sustains, see docs/measurements.md.
     constexpr double capacity_per_engine = 1.1;
     out.capacity = capacity_per_engine * engines;
     return out;
@@ -197,27 +198,41 @@
 {
 }
 
-double request_source::reading_probability(double prompt_share) const
+double request_source::prompt_heavy_probability(double prompt_share) const
 {
-    auto const a = mean_work(load_.classes, &class_workload::generating);
-    auto const b = mean_work(load_.classes, &class_workload::reading);
-    // Solves prompt(x) = share * total(x), which is linear in x.
-    auto const excess_a = a.prompt - prompt_share * (a.prompt + a.output);
-    auto const excess_b = b.prompt - prompt_share * (b.prompt + b.output);
-    return std::clamp(excess_a / (excess_a - excess_b), 0.0, 1.0);
+    auto const output_heavy =
+        mean_work(load_.classes, &class_workload::output_heavy);
+    auto const prompt_heavy =
+        mean_work(load_.classes, &class_workload::prompt_heavy);
+    // Solves prompt(p) = share * total(p) for the probability p; both sides are
+    // linear in p.
+    auto const output_heavy_excess =
+        output_heavy.prompt -
+        prompt_share * (output_heavy.prompt + output_heavy.output);
+    auto const prompt_heavy_excess =
+        prompt_heavy.prompt -
+        prompt_share * (prompt_heavy.prompt + prompt_heavy.output);
+    return std::clamp(output_heavy_excess /
+                          (output_heavy_excess - prompt_heavy_excess),
+                      0.0, 1.0);
 }
 
 double request_source::rate_for(double work, double prompt_share) const
 {
-    auto const a = mean_work(load_.classes, &class_workload::generating);
-    auto const b = mean_work(load_.classes, &class_workload::reading);
-    auto const x = reading_probability(prompt_share);
-    return work / ((1 - x) * (a.prompt + a.output) + x * (b.prompt + b.output));
+    auto const output_heavy =
+        mean_work(load_.classes, &class_workload::output_heavy);
+    auto const prompt_heavy =
+        mean_work(load_.classes, &class_workload::prompt_heavy);
+    auto const probability = prompt_heavy_probability(prompt_share);
+    return work /
+           ((1 - probability) * (output_heavy.prompt + output_heavy.output) +
+            probability * (prompt_heavy.prompt + prompt_heavy.output));
 }
 
 double request_source::log_normal(double median, double sigma)
 {
-    // Box-Muller, because the standard distributions differ by platform.
+    // Box-Muller transform; std::lognormal_distribution differs between
+    // standard libraries.
     double const radius = std::sqrt(-2 * std::log(1 - random_.uniform()));
     double const angle = 2 * std::numbers::pi * random_.uniform();
     return median * std::exp(sigma * radius * std::cos(angle));
@@ -225,7 +240,8 @@
 
 void request_source::add_prefix(request_arrival &arrival)
 {
-    // Inverse of the distribution function of a Pareto law cut at `documents`.
+    // Inverse distribution function of a Pareto distribution truncated at
+    // `documents`.
     double const exponent = 1 - document_exponent;
     double const span = std::pow(documents + 1, exponent) - 1;
     auto const document = static_cast<std::uint64_t>(
@@ -254,8 +270,10 @@
         }
         point -= item.share;
     }
-    bool const reads = random_.uniform() < reading_probability(prompt_share);
-    auto const &lengths = reads ? chosen->reading : chosen->generating;
+    bool const is_prompt_heavy =
+        random_.uniform() < prompt_heavy_probability(prompt_share);
+    auto const &lengths =
+        is_prompt_heavy ? chosen->prompt_heavy : chosen->output_heavy;
     generated_request out;
     out.arrival.request = request_number(++last_number_);
     out.arrival.caller = "caller-" + std::to_string(random_.below(50));
--- a/harness/workload.hpp
+++ b/harness/workload.hpp
@@ -12,7 +12,8 @@
 namespace agateledge
 {
 
-/// Median lengths of a class in one of its two forms, in tokens.
+/// Median lengths of the requests of a class in one of its two forms, in
+/// tokens.
 struct length_profile
 {
     double prompt = 0;
@@ -25,26 +26,26 @@
     std::string class_name;
     /// Share of the model requests that are of this class.
     double share = 0;
-    /// Short prompt with a long answer.
-    length_profile generating;
-    /// Long prompt with a short answer.
-    length_profile reading;
+    /// Form with a short prompt and a long answer.
+    length_profile output_heavy;
+    /// Form with a long prompt and a short answer.
+    length_profile prompt_heavy;
 };
 
-/// Deployment of section 1.1 of the design page with its load.
+/// Simulated deployment with its load, after section 1.1 of the design page.
 struct workload
 {
     configuration config;
     /// Data centre of each daemon.
     std::vector<std::string> daemons;
     std::vector<class_workload> classes;
-    /// Work that the oracle serves in the steady mix, in nominal engine seconds
-    /// a second; see docs/measurements.md.
+    /// Load that the oracle policy sustains at the steady mix, in nominal
+    /// engine seconds per second; see docs/measurements.md.
     double capacity = 0;
     duration between_data_centres{};
 };
 
-/// Request with what only the engine knows of it.
+/// Request with the length of its answer, which only the engine knows.
 struct generated_request
 {
     request_arrival arrival;
@@ -66,17 +67,18 @@
 public:
     request_source(workload const &load, std::uint64_t seed);
 
-    /// @param prompt_share wanted share of prefill in the nominal work
+    /// @param prompt_share target share of prefill in the nominal work
     generated_request next(double prompt_share);
 
-    /// @return requests a second that make `work` nominal engine seconds a
+    /// @return requests per second that produce `work` nominal engine seconds
+    /// per
     ///         second at the given share of prefill
     double rate_for(double work, double prompt_share) const;
 
     random_source &random() { return random_; }
 
 private:
-    double reading_probability(double prompt_share) const;
+    double prompt_heavy_probability(double prompt_share) const;
     double log_normal(double median, double sigma);
     void add_prefix(request_arrival &arrival);
 
