--- a/harness/fault_schedule.cpp
+++ b/harness/fault_schedule.cpp
@@ -20,10 +20,12 @@
 /// Mean time between two faults of one kind.
 constexpr double mean_interval_seconds = 6;
 
-/// Longest time until a daemon applies a new configuration, and the longest
-/// time after the start of a drain in which new work may still be sent to the
-/// target.
+/// Longest time until a daemon applies a new configuration.
 constexpr duration max_configuration_lag = seconds(4);
+
+/// Longest time after the start of a drain in which new work may still be sent
+/// to the target. Exceeds `max_configuration_lag`, since a daemon may not know
+/// of the drain until then.
 constexpr duration max_work_after_drain = seconds(5);
 
 /// Two drain time-outs and the longest call.
@@ -263,8 +265,7 @@
     auto const second = pick_daemon(random);
     for (auto const index : {first, second})
     {
-        // The proposal keeps the current drains, which only `set_draining`
-        // sets.
+        // The proposal keeps the current drains; only `set_draining` sets them.
         auto next = deployment_.config();
         next.revision = deployment_.daemons()[index].state->config.revision;
         next.policy.retry_share = random.uniform() / 2;
--- a/harness/fault_schedule.hpp
+++ b/harness/fault_schedule.hpp
@@ -35,9 +35,8 @@
 {
 public:
     /// @param deployment where the faults take effect
-    /// @param callers callers to be disconnected from daemons that end, and to
-    /// be
-    ///        made to reconnect or repeat requests
+    /// @param callers callers that lose their connections when a daemon ends,
+    ///        and that reconnect or repeat requests as a fault
     /// @param seed seed of the times and targets
     /// @param without kinds that are not injected
     fault_schedule(virtual_deployment &deployment, virtual_callers &callers,
--- a/harness/virtual_callers.hpp
+++ b/harness/virtual_callers.hpp
@@ -43,8 +43,7 @@
     /// at another daemon.
     ///
     /// @param planned true after a planned shutdown, which must leave no
-    /// request
-    ///        open
+    ///        request open
     void handle_daemon_end(std::size_t daemon, bool planned);
 
     /// Lets the caller of a randomly chosen open stream reconnect, possibly at
--- a/harness/workload.hpp
+++ b/harness/workload.hpp
@@ -71,8 +71,7 @@
     generated_request next(double prompt_share);
 
     /// @return requests per second that produce `work` nominal engine seconds
-    /// per
-    ///         second at the given share of prefill
+    ///         per second at the given share of prefill
     double rate_for(double work, double prompt_share) const;
 
     random_source &random() { return random_; }
