--- a/src/load_client.cpp
+++ b/src/load_client.cpp
@@ -19,12 +19,13 @@
 
 constexpr std::size_t bytes_per_token = 4;
 constexpr int long_prompt_tokens = 3000;
-constexpr int middle_prompt_tokens = 800;
+constexpr int medium_prompt_tokens = 800;
 constexpr int short_prompt_tokens = 120;
-/// Documents that prompts begin with, so that prefix caches have an effect.
-constexpr std::uint64_t documents = 12;
-/// One booking in this many is sent again under the key of the last one.
-constexpr std::uint64_t repeat_one_in = 5;
+/// Number of distinct documents at the start of prompts. Prompts share them, so
+/// that prefix caches have hits.
+constexpr std::uint64_t document_count = 12;
+/// One in this many bookings repeats the idempotency key of the last new one.
+constexpr std::uint64_t bookings_per_repeat = 5;
 
 int prompt_tokens_of(request_class const &kind)
 {
@@ -32,7 +33,7 @@
     {
         return long_prompt_tokens;
     }
-    return kind.first_token_deadline > seconds(1) ? middle_prompt_tokens
+    return kind.first_token_deadline > seconds(1) ? medium_prompt_tokens
                                                   : short_prompt_tokens;
 }
 
@@ -63,8 +64,8 @@
     std::uint64_t seed = 0;
     int output_tokens = 0;
     int status = 0;
-    bool first_seen = false;
-    bool done_seen = false;
+    bool first_token_received = false;
+    bool done_received = false;
     duration first_token_time{};
     std::string text;
     std::string body;
@@ -109,7 +110,7 @@
 void load_client::start(int requests, double per_second,
                         std::function<void()> on_done)
 {
-    left_ = requests;
+    remaining_requests_ = requests;
     on_done_ = std::move(on_done);
     auto const interval = std::max(1.0, 1000.0 / per_second);
     timer_ = g_timeout_add(
@@ -118,7 +119,7 @@
         {
             auto *client = static_cast<load_client *>(self);
             client->send_next();
-            if (client->left_ > 0)
+            if (client->remaining_requests_ > 0)
             {
                 return G_SOURCE_CONTINUE;
             }
@@ -130,7 +131,7 @@
 
 void load_client::send_next()
 {
-    --left_;
+    --remaining_requests_;
     ++totals_.requests;
     auto request = std::make_shared<open_request>();
     request->kind = config_.classes[random_.below(config_.classes.size())];
@@ -148,7 +149,7 @@
     handlers.on_head = [request](int status, SoupMessageHeaders *)
     { request->status = status; };
     handlers.on_bytes = [this, request](std::string_view bytes)
-    { receive(*request, bytes); };
+    { consume_bytes(*request, bytes); };
     handlers.on_end = [this, request](http_outcome outcome)
     { finish(*request, outcome); };
     client_.open(message, std::move(handlers));
@@ -158,18 +159,20 @@
 {
     auto const service = std::ranges::find(
         config_.services, request.kind.service, &service_definition::name);
-    auto const most =
+    auto const max_output_tokens =
         static_cast<std::uint64_t>(request.kind.expected_output_tokens);
-    request.output_tokens = 1 + static_cast<int>(random_.below(most));
+    request.output_tokens =
+        1 + static_cast<int>(random_.below(max_output_tokens));
     Json::Value message;
     message["role"] = "user";
-    message["content"] = make_prompt(request.kind, random_.below(documents),
-                                     request.seed, request.output_tokens);
+    message["content"] =
+        make_prompt(request.kind, random_.below(document_count), request.seed,
+                    request.output_tokens);
     Json::Value body;
     body["model"] = service->model;
     body["stream"] = true;
     body["max_tokens"] = request.output_tokens;
-    // JSON numbers are doubles in many clients, so the seed stays below 2^53.
+    // Many JSON implementations use doubles, so the seed is kept below 2^53.
     request.seed >>= 11U;
     body["seed"] = Json::UInt64(request.seed);
     body["messages"].append(message);
@@ -183,12 +186,12 @@
 std::string load_client::booking_key()
 {
     bool const repeat =
-        !last_booking_.empty() && random_.below(repeat_one_in) == 0;
+        !last_booking_key_.empty() && random_.below(bookings_per_repeat) == 0;
     if (!repeat)
     {
-        last_booking_ = "booking-" + std::to_string(random_());
+        last_booking_key_ = "booking-" + std::to_string(random_());
     }
-    return last_booking_;
+    return last_booking_key_;
 }
 
 http_request load_client::make_service_request(open_request &request)
@@ -206,7 +209,7 @@
     return out;
 }
 
-void load_client::receive(open_request &request, std::string_view bytes)
+void load_client::consume_bytes(open_request &request, std::string_view bytes)
 {
     if (request.plain || request.status != 200)
     {
@@ -219,7 +222,7 @@
         {
             if (data == "[DONE]")
             {
-                request.done_seen = true;
+                request.done_received = true;
                 return true;
             }
             auto const event = json_from_text(data);
@@ -228,9 +231,9 @@
                 request.text +=
                     (*event)["choices"][0]["delta"]["content"].asString();
             }
-            if (!request.first_seen && !request.text.empty())
+            if (!request.first_token_received && !request.text.empty())
             {
-                request.first_seen = true;
+                request.first_token_received = true;
                 request.first_token_time =
                     daemon_loop::clock_now() - request.sent_at;
             }
@@ -241,7 +244,8 @@
 void load_client::finish(open_request &request, http_outcome outcome)
 {
     count(request, outcome);
-    if (totals_.ended() == totals_.requests && left_ <= 0 && on_done_)
+    if (totals_.ended() == totals_.requests && remaining_requests_ <= 0 &&
+        on_done_)
     {
         std::exchange(on_done_, nullptr)();
     }
@@ -256,11 +260,11 @@
         count_refusal(request);
         return;
     }
-    bool const whole =
+    bool const complete =
         request.plain ||
-        (request.done_seen &&
+        (request.done_received &&
          request.text == standin_answer(request.seed, request.output_tokens));
-    if (!whole)
+    if (!complete)
     {
         log_failure(request, "wrong_answer");
         ++totals_.failed;
--- a/src/load_client.hpp
+++ b/src/load_client.hpp
@@ -15,17 +15,19 @@
 namespace agateledge
 {
 
-/// Totals of a `load_client`.
+/// Counts of the requests of a `load_client` by outcome.
 struct load_totals
 {
     int requests = 0;
-    /// Answered whole: the text is what the engine stand-in generates, or the
-    /// endpoint confirmed the booking.
+    /// Complete answers: the text is the one that the engine stand-in
+    /// generates, or the endpoint confirmed the booking.
     int answered = 0;
     int answered_in_time = 0;
+    /// Errors that state that the request was not run.
     int not_run = 0;
+    /// Bookings that may have had an effect: any other error or no answer.
     int unknown = 0;
-    /// Ended in any other way, or with a wrong text.
+    /// Requests with any other outcome or a wrong text.
     int failed = 0;
 
     int ended() const { return answered + not_run + unknown + failed; }
@@ -33,22 +35,25 @@
     auto operator<=>(load_totals const &) const = default;
 };
 
-/// Caller that sends a mix of requests at a fixed rate over HTTP and checks
-/// every answer. Repeats some bookings under the same key.
+/// Load generator that sends a mix of requests over HTTP at a fixed rate and
+/// checks every answer. Repeats some bookings with the same idempotency key.
 class load_client
 {
 public:
     /// @param config classes and services of the deployment
-    /// @param daemons addresses of the callers' listeners, used in turn
+    /// @param daemons addresses of the callers' listeners, one chosen at random
+    ///        for each request
     /// @param token bearer token of the caller
-    /// @param seed seed of the mix
+    /// @param seed seed of the random choice of requests
     load_client(configuration const &config, std::vector<std::string> daemons,
                 std::string token, std::uint64_t seed);
     ~load_client();
 
-    /// Sends `requests` requests, `per_second` of them a second.
+    /// Starts to send requests.
     ///
-    /// @param on_done runs once, after the last request has ended
+    /// @param requests number of requests
+    /// @param per_second rate in requests per second; at most 1000
+    /// @param on_done called once, after the last request has ended
     void start(int requests, double per_second, std::function<void()> on_done);
 
     load_totals const &totals() const { return totals_; }
@@ -60,7 +65,7 @@
     http_request make_model_request(open_request &request);
     http_request make_service_request(open_request &request);
     std::string booking_key();
-    void receive(open_request &request, std::string_view bytes);
+    void consume_bytes(open_request &request, std::string_view bytes);
     void finish(open_request &request, http_outcome outcome);
     void count(open_request const &request, http_outcome outcome);
     void count_refusal(open_request const &request);
@@ -72,8 +77,8 @@
     random_source random_;
     http_client client_;
     load_totals totals_;
-    int left_ = 0;
-    std::string last_booking_;
+    int remaining_requests_ = 0;
+    std::string last_booking_key_;
     unsigned timer_ = 0;
     std::function<void()> on_done_;
 };
--- a/src/standin_engine.cpp
+++ b/src/standin_engine.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-constexpr std::size_t max_kept_streams = 4096;
-constexpr std::size_t max_kept_cache_events = 4096;
+constexpr std::size_t max_finished_streams = 4096;
+constexpr std::size_t max_cache_events = 4096;
 
-std::int64_t kv_need(standin_work const &work)
+std::int64_t required_kv_tokens(standin_work const &work)
 {
     return work.prompt_tokens + work.output_tokens;
 }
@@ -52,20 +52,20 @@
 
 bool standin_engine::start(standin_work work, instant now)
 {
-    if (away_ && now < away_until_)
+    if (unavailable_ && now < unavailable_until_)
     {
         return false;
     }
     sequence item;
     item.next_token = work.generated_tokens;
-    item.not_before = now + from_seconds(work.imported_tokens /
-                                         options_.import_tokens_per_second);
+    item.import_done_at = now + from_seconds(work.imported_tokens /
+                                             options_.import_tokens_per_second);
     item.work = std::move(work);
-    auto const place = std::ranges::find_if(
+    auto const position = std::ranges::find_if(
         waiting_, [&item](sequence const &other)
         { return other.work.priority > item.work.priority; });
-    waiting_.insert(place, std::move(item));
-    if (!step_ends_)
+    waiting_.insert(position, std::move(item));
+    if (!step_ends_at_)
     {
         begin_step(now);
     }
@@ -117,14 +117,14 @@
     auto const item = std::ranges::find_if(running_, matches);
     if (item != running_.end())
     {
-        kv_tokens_ -= kv_need(item->work);
+        kv_tokens_ -= required_kv_tokens(item->work);
         running_.erase(item);
     }
 }
 
 order_outcome standin_engine::order(engine_order const &order, instant now)
 {
-    finish_order(now);
+    complete_order(now);
     if (last_order_ == order.id)
     {
         return order_outcome::accepted;
@@ -140,8 +140,9 @@
     highest_fencing_ = std::max(highest_fencing_, order.fencing);
     effects_.push_back(order);
     ++generation_;
-    before_change_ = {options_.role, options_.model, options_.model_version};
-    order_before_change_ = std::exchange(last_order_, order.id);
+    options_before_order_ = {options_.role, options_.model,
+                             options_.model_version};
+    previous_order_ = std::exchange(last_order_, order.id);
     if (order.kind == order_kind::change_role)
     {
         options_.role = order.role;
@@ -151,39 +152,39 @@
         options_.model = order.name;
         options_.model_version = order.version;
     }
-    away_ = true;
-    away_until_ = now + options_.order_time;
+    unavailable_ = true;
+    unavailable_until_ = now + options_.order_time;
     return order_outcome::accepted;
 }
 
-void standin_engine::finish_order(instant now)
+void standin_engine::complete_order(instant now)
 {
-    if (away_ && now >= away_until_)
+    if (unavailable_ && now >= unavailable_until_)
     {
-        away_ = false;
-        before_change_.reset();
+        unavailable_ = false;
+        options_before_order_.reset();
     }
 }
 
 void standin_engine::undo_order()
 {
-    options_.role = before_change_->role;
-    options_.model = before_change_->model;
-    options_.model_version = before_change_->model_version;
-    last_order_ = order_before_change_;
-    before_change_.reset();
+    options_.role = options_before_order_->role;
+    options_.model = options_before_order_->model;
+    options_.model_version = options_before_order_->model_version;
+    last_order_ = previous_order_;
+    options_before_order_.reset();
 }
 
 void standin_engine::advance(instant now, std::vector<standin_event> &events)
 {
-    finish_order(now);
-    while (step_ends_ && *step_ends_ <= now)
+    complete_order(now);
+    while (step_ends_at_ && *step_ends_at_ <= now)
     {
-        auto const ended_at = *step_ends_;
+        auto const ended_at = *step_ends_at_;
         end_step(events);
         begin_step(ended_at);
     }
-    if (!step_ends_ && (!waiting_.empty() || !running_.empty()))
+    if (!step_ends_at_ && (!waiting_.empty() || !running_.empty()))
     {
         begin_step(now);
     }
@@ -195,18 +196,18 @@
     running_.clear();
     finished_.clear();
     cache_.clear();
-    cache_order_.clear();
+    cache_lru_.clear();
     cache_tokens_ = 0;
     kv_tokens_ = 0;
-    step_ends_.reset();
+    step_ends_at_.reset();
     ++generation_;
-    finish_order(now);
-    if (away_ && before_change_)
+    complete_order(now);
+    if (unavailable_ && options_before_order_)
     {
         undo_order();
     }
-    away_ = true;
-    away_until_ = now + options_.order_time;
+    unavailable_ = true;
+    unavailable_until_ = now + options_.order_time;
 }
 
 load_report standin_engine::load() const
@@ -221,14 +222,14 @@
     }
     for (auto const &item : running_)
     {
-        report.waiting_prefill_tokens += item.prefill_left;
+        report.waiting_prefill_tokens += item.remaining_prefill_tokens;
     }
     report.kv_tokens_used = kv_tokens_;
     report.role = options_.role;
     report.model = options_.model;
     report.model_version = options_.model_version;
     report.generation = generation_;
-    report.ready = !away_;
+    report.ready = !unavailable_;
     report.last_order = last_order_;
     return report;
 }
@@ -236,13 +237,15 @@
 std::vector<cache_event>
 standin_engine::cache_events_after(std::uint64_t sequence) const
 {
-    constexpr std::size_t most = 256;
+    constexpr std::size_t max_events = 256;
     std::vector<cache_event> out;
     auto const first =
         std::ranges::find_if(cache_events_, [sequence](cache_event const &event)
                              { return event.sequence > sequence; });
-    auto const left = static_cast<std::size_t>(cache_events_.end() - first);
-    std::copy_n(first, std::min(left, most), std::back_inserter(out));
+    auto const remaining =
+        static_cast<std::size_t>(cache_events_.end() - first);
+    std::copy_n(first, std::min(remaining, max_events),
+                std::back_inserter(out));
     return out;
 }
 
@@ -250,21 +253,22 @@
 {
     auto item = waiting_.begin();
     while (item != waiting_.end() &&
-           running_.size() < static_cast<std::size_t>(batch_limit()))
+           running_.size() < static_cast<std::size_t>(max_batch_of_role()))
     {
-        auto const need = kv_need(item->work);
-        bool const fits = kv_tokens_ + need <= options_.kv_capacity_tokens;
-        if (item->not_before > now || (!fits && !running_.empty()))
+        auto const required = required_kv_tokens(item->work);
+        bool const fits = kv_tokens_ + required <= options_.kv_capacity_tokens;
+        if (item->import_done_at > now || (!fits && !running_.empty()))
         {
             ++item;
             continue;
         }
-        kv_tokens_ += need;
-        item->cached_tokens = take_cached_prefix(item->work);
-        auto const known =
+        kv_tokens_ += required;
+        item->cached_tokens = use_cached_prefix(item->work);
+        auto const available =
             std::max(item->cached_tokens, item->work.imported_tokens);
-        item->prefill_left = std::max(
-            0, item->work.prompt_tokens + item->work.generated_tokens - known);
+        item->remaining_prefill_tokens =
+            std::max(0, item->work.prompt_tokens + item->work.generated_tokens -
+                            available);
         auto const moved = item++;
         running_.splice(running_.end(), waiting_, moved);
     }
@@ -272,24 +276,24 @@
 
 int standin_engine::plan_prefill()
 {
-    int const limit = chunk_limit();
+    int const limit = prefill_chunk_of_role();
     int budget = limit;
     for (auto &item : running_)
     {
-        auto const part = std::min(budget, item.prefill_left);
-        item.prefill_left -= part;
-        budget -= part;
+        auto const tokens = std::min(budget, item.remaining_prefill_tokens);
+        item.remaining_prefill_tokens -= tokens;
+        budget -= tokens;
     }
     return limit - budget;
 }
 
-int standin_engine::batch_limit() const
+int standin_engine::max_batch_of_role() const
 {
     return options_.role == engine_role::decode ? options_.decode_max_batch
                                                 : options_.max_batch;
 }
 
-int standin_engine::chunk_limit() const
+int standin_engine::prefill_chunk_of_role() const
 {
     switch (options_.role)
     {
@@ -305,36 +309,41 @@
 
 void standin_engine::begin_step(instant now)
 {
-    step_ends_.reset();
+    step_ends_at_.reset();
     admit_waiting(now);
     if (running_.empty())
     {
         auto const next = std::ranges::min_element(
-            waiting_, {}, [](sequence const &item) { return item.not_before; });
+            waiting_, {},
+            [](sequence const &item) { return item.import_done_at; });
         if (next != waiting_.end())
         {
-            step_ends_ = std::max(next->not_before, now + milliseconds(1));
+            step_ends_at_ =
+                std::max(next->import_done_at, now + milliseconds(1));
         }
         return;
     }
-    auto const decoding = std::ranges::count_if(
-        running_, [](sequence const &item) { return item.prefill_left == 0; });
+    auto const decoding =
+        std::ranges::count_if(running_, [](sequence const &item)
+                              { return item.remaining_prefill_tokens == 0; });
     auto const prefill = plan_prefill();
     prefilled_tokens_ += prefill;
-    auto const length =
+    auto const step_duration =
         options_.step_base + options_.step_per_sequence * decoding +
         from_seconds(prefill / options_.prefill_tokens_per_second);
-    step_ends_ = now + from_seconds(to_seconds(length) / options_.speed);
+    step_ends_at_ =
+        now + from_seconds(to_seconds(step_duration) / options_.speed);
 }
 
-bool standin_engine::serve(sequence &item, std::vector<standin_event> &events)
+bool standin_engine::generate_token(sequence &item,
+                                    std::vector<standin_event> &events)
 {
     auto const &work = item.work;
-    if (item.prefill_left > 0)
+    if (item.remaining_prefill_tokens > 0)
     {
         return false;
     }
-    if (!std::exchange(item.announced, true))
+    if (!std::exchange(item.prefix_stored, true))
     {
         store_prefix(work);
     }
@@ -367,16 +376,16 @@
 
 void standin_engine::end_step(std::vector<standin_event> &events)
 {
-    step_ends_.reset();
+    step_ends_at_.reset();
     running_.remove_if(
         [&](sequence &item)
         {
-            if (!serve(item, events))
+            if (!generate_token(item, events))
             {
                 return false;
             }
-            kv_tokens_ -= kv_need(item.work);
-            if (finished_.size() >= max_kept_streams)
+            kv_tokens_ -= required_kv_tokens(item.work);
+            if (finished_.size() >= max_finished_streams)
             {
                 finished_.erase(finished_.begin());
             }
@@ -385,7 +394,7 @@
         });
 }
 
-int standin_engine::take_cached_prefix(standin_work const &work)
+int standin_engine::use_cached_prefix(standin_work const &work)
 {
     int blocks = 0;
     for (auto const hash : work.prefix_hashes)
@@ -395,7 +404,7 @@
         {
             break;
         }
-        cache_order_.splice(cache_order_.end(), cache_order_, found->second);
+        cache_lru_.splice(cache_lru_.end(), cache_lru_, found->second);
         ++blocks;
     }
     auto const tokens =
@@ -420,15 +429,14 @@
         {
             continue;
         }
-        cache_.emplace(hash, cache_order_.insert(cache_order_.end(), hash));
+        cache_.emplace(hash, cache_lru_.insert(cache_lru_.end(), hash));
         cache_tokens_ += work.prefix_block_tokens;
         record_cache_event(hash, true);
     }
-    while (cache_tokens_ > options_.prefix_cache_tokens &&
-           !cache_order_.empty())
+    while (cache_tokens_ > options_.prefix_cache_tokens && !cache_lru_.empty())
     {
-        auto const evicted = cache_order_.front();
-        cache_order_.pop_front();
+        auto const evicted = cache_lru_.front();
+        cache_lru_.pop_front();
         cache_.erase(evicted);
         cache_tokens_ -= work.prefix_block_tokens;
         record_cache_event(evicted, false);
@@ -438,7 +446,7 @@
 void standin_engine::record_cache_event(std::uint64_t hash, bool stored)
 {
     cache_events_.push_back({options_.name, ++cache_sequence_, hash, stored});
-    if (cache_events_.size() > max_kept_cache_events)
+    if (cache_events_.size() > max_cache_events)
     {
         cache_events_.pop_front();
     }
--- a/src/standin_engine.hpp
+++ b/src/standin_engine.hpp
@@ -18,7 +18,7 @@
 namespace agateledge
 {
 
-/// Speeds and sizes of an engine stand-in.
+/// Timing model and capacities of an engine stand-in.
 struct standin_engine_options
 {
     std::string name;
@@ -28,12 +28,14 @@
     /// False for an engine that checks neither the fencing number nor the
     /// expected generation of an order.
     bool checks_fencing = true;
-    /// Sequences in one batch. A mixed engine keeps memory for prefill
-    /// activations and therefore has the smaller batch.
+    /// Maximum number of sequences in a batch: `max_batch` for the roles mixed
+    /// and prefill, `decode_max_batch` for decode. A mixed engine reserves
+    /// memory for prefill activations and therefore has the smaller limit.
     int max_batch = 32;
     int decode_max_batch = 80;
-    /// Prompt tokens that one step computes at the most, by role. A prefill
-    /// engine has no token interval to protect and takes long chunks.
+    /// Maximum number of prompt tokens that a step computes, by role. A prefill
+    /// engine generates no tokens whose interval a long chunk would increase,
+    /// so its limit is the highest.
     int prefill_chunk_tokens = 512;
     int prefill_role_chunk_tokens = 4096;
     int decode_role_chunk_tokens = 128;
@@ -42,16 +44,18 @@
     double prefill_tokens_per_second = 9000;
     std::int64_t kv_capacity_tokens = 200000;
     std::int64_t prefix_cache_tokens = 60000;
-    /// Time for which a role change or a load takes the engine away.
+    /// Time for which an order (role change or model load) or a restart makes
+    /// the engine unavailable.
     duration order_time = seconds(4);
-    /// KV cache tokens that are imported in a second.
+    /// Rate at which the KV cache is imported from another engine.
     double import_tokens_per_second = 150000;
-    /// Speed of a degraded engine: 0.1 makes each step ten times as long.
+    /// Speed factor; 0.1 makes each step of a degraded engine ten times as
+    /// long.
     double speed = 1.0;
     std::uint64_t seed = 1;
 };
 
-/// @param definition engine that the stand-in takes the place of
+/// @param definition engine that the stand-in replaces
 /// @param seed seed of the stand-in's random choices
 /// @return options with the default speeds
 standin_engine_options standin_options_of(engine_definition const &definition,
@@ -64,18 +68,19 @@
     int prompt_tokens = 0;
     std::vector<std::uint64_t> prefix_hashes;
     int prefix_block_tokens = 64;
-    /// Tokens of the answer that another engine has generated.
+    /// Tokens of the answer that another engine has already generated; the
+    /// stream continues after them.
     int generated_tokens = 0;
     /// Length of the whole answer, in tokens.
     int output_tokens = 1;
     int priority = 0;
     std::uint64_t seed = 0;
     bool prefill_only = false;
-    /// Tokens whose KV cache comes from another engine.
+    /// Tokens whose KV cache is imported from another engine.
     int imported_tokens = 0;
 };
 
-/// Progress of one stream of an engine stand-in.
+/// Event of one stream of an engine stand-in.
 struct standin_event
 {
     std::string stream_key;
@@ -86,10 +91,11 @@
     int cached_tokens = 0;
 };
 
-/// Model of an engine with continuous batching: a step serves every running
-/// sequence with one token and computes part of the waiting prompts, in the
-/// order of priority. It has no clock: the caller advances it. Streams are kept
-/// after their end, so that they can be attached again.
+/// Model of an engine with continuous batching: each step generates one token
+/// for every running sequence whose prompt is computed, and computes part of
+/// the remaining prompts. Waiting work is admitted in order of priority. The
+/// model has no clock: the caller advances it. Finished streams are kept so
+/// that a client can attach to them again.
 class standin_engine
 {
 public:
@@ -97,45 +103,48 @@
 
     /// Starts a stream.
     ///
-    /// @return false when the engine is not ready and refuses the work
+    /// @return false when the engine is unavailable and refuses the work
     bool start(standin_work work, instant now);
 
-    /// @return events of a stream that repeat its tokens from `offset` on, or
-    ///         nothing when the engine does not know the stream
+    /// @return events that repeat the tokens of a stream from `offset` on, or
+    ///         nothing when the stream is unknown
     std::optional<std::vector<standin_event>> replay(std::string const &key,
                                                      int offset) const;
 
     /// Ends a stream early; unknown streams are ignored.
     void cancel(std::string const &key);
 
-    /// Carries out an order. A copy of the order that took effect last is
-    /// accepted without a second effect; earlier ones are not remembered.
+    /// Applies an order. A repetition of the order that was applied last is
+    /// accepted without a second effect; the ids of earlier orders are not
+    /// kept.
     order_outcome order(engine_order const &order, instant now);
 
     /// @return the time at which the current step ends, if one runs
-    std::optional<instant> next_step() const { return step_ends_; }
+    std::optional<instant> next_step() const { return step_ends_at_; }
 
-    /// Ends the steps that are due and appends their events to `events`.
+    /// Completes the steps that end by `now` and appends their events to
+    /// `events`.
     void advance(instant now, std::vector<standin_event> &events);
 
-    /// Loses all streams and the cache, as a crash and a restart do. A change
-    /// that an order began and that was not finished is undone.
+    /// Simulates a crash and a restart: all streams and the prefix cache are
+    /// lost. A change that an order started and that is incomplete is undone.
     void crash(instant now);
 
-    /// @return the true load of the engine; its age is 0
+    /// @return the current load of the engine; the age of the report is 0
     load_report load() const;
 
-    /// @return cache events after `sequence`, oldest first, 256 at the most
+    /// @return cache events after `sequence`, oldest first, at most 256
     std::vector<cache_event> cache_events_after(std::uint64_t sequence) const;
 
     standin_engine_options &options() { return options_; }
     standin_engine_options const &options() const { return options_; }
 
-    /// @return prompt tokens of leading blocks that the prefix cache holds
+    /// @return number of prompt tokens in the leading blocks that are in the
+    ///         prefix cache
     int cached_prefix_tokens(std::vector<std::uint64_t> const &hashes,
                              int block_tokens) const;
 
-    /// Orders that took effect, in order.
+    /// Applied orders, oldest first.
     std::vector<engine_order> const &effects() const { return effects_; }
 
     std::int64_t prefilled_tokens() const { return prefilled_tokens_; }
@@ -146,53 +155,63 @@
     struct sequence
     {
         standin_work work;
-        int prefill_left = 0;
+        int remaining_prefill_tokens = 0;
         int cached_tokens = 0;
         int next_token = 0;
-        instant not_before{};
-        bool announced = false;
+        instant import_done_at{};
+        bool prefix_stored = false;
     };
 
-    int batch_limit() const;
-    int chunk_limit() const;
+    int max_batch_of_role() const;
+    int prefill_chunk_of_role() const;
     void begin_step(instant now);
     void end_step(std::vector<standin_event> &events);
     void admit_waiting(instant now);
+    /// Assigns the prefill tokens of the next step to the running sequences.
+    ///
+    /// @return number of tokens that the step computes
     int plan_prefill();
-    bool serve(sequence &item, std::vector<standin_event> &events);
-    int take_cached_prefix(standin_work const &work);
+    /// Generates the next token of a running sequence, if its prompt is
+    /// computed.
+    ///
+    /// @return true when the sequence has ended
+    bool generate_token(sequence &item, std::vector<standin_event> &events);
+    int use_cached_prefix(standin_work const &work);
     void store_prefix(standin_work const &work);
     void record_cache_event(std::uint64_t hash, bool stored);
-    void finish_order(instant now);
+    void complete_order(instant now);
     void undo_order();
 
     standin_engine_options options_;
     std::list<sequence> waiting_;
     std::list<sequence> running_;
-    std::optional<instant> step_ends_;
-    instant away_until_{};
-    bool away_ = false;
+    std::optional<instant> step_ends_at_;
+    instant unavailable_until_{};
+    bool unavailable_ = false;
     std::int64_t kv_tokens_ = 0;
     std::uint64_t generation_ = 1;
     fencing_number highest_fencing_;
-    struct changed_options
+    /// Options that an order can change.
+    struct changeable_options
     {
         engine_role role = engine_role::mixed;
         std::string model;
         std::string model_version;
     };
-    /// What the order that is under way replaces.
-    std::optional<changed_options> before_change_;
+    /// State before the order that is in progress, restored by `undo_order`.
+    std::optional<changeable_options> options_before_order_;
     std::string last_order_;
-    std::string order_before_change_;
+    /// Id of the order before `last_order_`, restored by `undo_order`.
+    std::string previous_order_;
     std::vector<engine_order> effects_;
-    std::list<std::uint64_t> cache_order_;
+    /// Block hashes in the prefix cache, least recently used first.
+    std::list<std::uint64_t> cache_lru_;
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
         cache_;
     std::int64_t cache_tokens_ = 0;
     std::deque<cache_event> cache_events_;
     std::uint64_t cache_sequence_ = 0;
-    /// Finished streams with their lengths, for `replay`.
+    /// Finished work by stream key, for `replay`.
     std::map<std::string, standin_work> finished_;
     std::int64_t prefilled_tokens_ = 0;
     std::int64_t generated_tokens_ = 0;
--- a/src/standin_engine_server.cpp
+++ b/src/standin_engine_server.cpp
@@ -16,7 +16,7 @@
 {
 
 /// Reads a 64-bit number that JSON carries as a decimal string.
-std::uint64_t parse_number(Json::Value const &value)
+std::uint64_t parse_uint64(Json::Value const &value)
 {
     auto const text = value.asString();
     std::uint64_t number = 0;
@@ -24,19 +24,19 @@
     return number;
 }
 
-standin_work read_work(Json::Value const &body)
+standin_work parse_work(Json::Value const &body)
 {
     standin_work work;
     work.stream_key = body["stream"].asString();
     work.prompt_tokens = body["prompt_tokens"].asInt();
     for (auto const &hash : body["prefix_hashes"])
     {
-        work.prefix_hashes.push_back(parse_number(hash));
+        work.prefix_hashes.push_back(parse_uint64(hash));
     }
     work.prefix_block_tokens = body.get("prefix_block_tokens", 64).asInt();
     work.generated_tokens = body["generated_tokens"].asInt();
     work.priority = body["priority"].asInt();
-    work.seed = parse_number(body["seed"]);
+    work.seed = parse_uint64(body["seed"]);
     work.prefill_only = body["prefill_only"].asBool();
     if (!body["import_from"].asString().empty())
     {
@@ -47,7 +47,7 @@
     return work;
 }
 
-engine_order read_order(Json::Value const &body)
+engine_order parse_order(Json::Value const &body)
 {
     engine_order order;
     order.id = body["id"].asString();
@@ -60,8 +60,8 @@
         parse_engine_role(body["role"].asString()).value_or(engine_role::mixed);
     order.name = body["name"].asString();
     order.version = body["version"].asString();
-    order.fencing = fencing_number(parse_number(body["fencing"]));
-    order.expected_generation = parse_number(body["expected_generation"]);
+    order.fencing = fencing_number(parse_uint64(body["fencing"]));
+    order.expected_generation = parse_uint64(body["expected_generation"]);
     return order;
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-std::string to_text(standin_event const &event)
+std::string event_to_json(standin_event const &event)
 {
     Json::Value out;
     out["kind"] = name_of(event.kind);
@@ -102,9 +102,10 @@
     return json_to_text(out);
 }
 
-/// Parses the body of a request and hands it to `serve`, or answers 400.
-template <class Serve>
-void with_body(std::shared_ptr<http_exchange> const &request, Serve serve)
+/// Parses the body of a request and passes it to `handle`, or replies with 400.
+template <class Handler>
+void with_json_body(std::shared_ptr<http_exchange> const &request,
+                    Handler handle)
 {
     auto const body = json_from_text(request->body());
     if (!body.ok() || !body->isObject())
@@ -114,7 +115,7 @@
     }
     try
     {
-        serve(*body);
+        handle(*body);
     }
     catch (Json::Exception const &error)
     {
@@ -127,21 +128,21 @@
 int standin_answer_length(std::string const &prompt, std::uint64_t seed,
                           int max_tokens)
 {
-    auto const most = std::max(1, max_tokens);
-    auto const mark = prompt.find("len=");
+    auto const limit = std::max(1, max_tokens);
+    auto const marker = prompt.find("len=");
     int length = 0;
-    if (mark != std::string::npos)
+    if (marker != std::string::npos)
     {
-        std::from_chars(prompt.data() + mark + 4, prompt.data() + prompt.size(),
-                        length);
+        std::from_chars(prompt.data() + marker + 4,
+                        prompt.data() + prompt.size(), length);
     }
     if (length <= 0)
     {
         random_source random(seed);
         length = 1 + static_cast<int>(
-                         random.below(static_cast<std::uint64_t>(most)));
+                         random.below(static_cast<std::uint64_t>(limit)));
     }
-    return std::min(length, most);
+    return std::min(length, limit);
 }
 
 standin_engine_server::standin_engine_server(standin_engine_options options)
@@ -171,25 +172,26 @@
 
 void standin_engine_server::generate(exchange const &request)
 {
-    with_body(request,
-              [this, &request](Json::Value const &body)
-              {
-                  auto work = read_work(body);
-                  if (body["attach"].asBool())
-                  {
-                      attach(request, work.stream_key, work.generated_tokens);
-                      return;
-                  }
-                  auto const key = work.stream_key;
-                  if (!model_.start(std::move(work), daemon_loop::clock_now()))
-                  {
-                      request->reply(503, R"({"error":"not ready"})");
-                      return;
-                  }
-                  request->begin_events();
-                  readers_[key] = request;
-                  plan_step();
-              });
+    with_json_body(
+        request,
+        [this, &request](Json::Value const &body)
+        {
+            auto work = parse_work(body);
+            if (body["attach"].asBool())
+            {
+                attach(request, work.stream_key, work.generated_tokens);
+                return;
+            }
+            auto const key = work.stream_key;
+            if (!model_.start(std::move(work), daemon_loop::clock_now()))
+            {
+                request->reply(503, R"({"error":"not ready"})");
+                return;
+            }
+            request->begin_events();
+            open_responses_[key] = request;
+            schedule_step();
+        });
 }
 
 void standin_engine_server::attach(exchange const &request,
@@ -202,53 +204,53 @@
         return;
     }
     request->begin_events();
-    readers_[key] = request;
-    std::ranges::for_each(*events,
-                          [this](standin_event const &event) { write(event); });
+    open_responses_[key] = request;
+    std::ranges::for_each(*events, [this](standin_event const &event)
+                          { write_event(event); });
 }
 
-void standin_engine_server::write(standin_event const &event)
+void standin_engine_server::write_event(standin_event const &event)
 {
-    auto const reader = readers_.find(event.stream_key);
-    if (reader == readers_.end())
+    auto const response = open_responses_.find(event.stream_key);
+    if (response == open_responses_.end())
     {
         return;
     }
-    reader->second->write_event(to_text(event));
+    response->second->write_event(event_to_json(event));
     if (event.kind != engine_event_kind::chunk)
     {
-        reader->second->end_events();
-        readers_.erase(reader);
+        response->second->end_events();
+        open_responses_.erase(response);
     }
 }
 
 void standin_engine_server::cancel(exchange const &request)
 {
-    with_body(request,
-              [this, &request](Json::Value const &body)
-              {
-                  auto const key = body["stream"].asString();
-                  model_.cancel(key);
-                  auto const reader = readers_.find(key);
-                  if (reader != readers_.end())
-                  {
-                      reader->second->end_events();
-                      readers_.erase(reader);
-                  }
-                  request->reply(200, "{}");
-              });
+    with_json_body(request,
+                   [this, &request](Json::Value const &body)
+                   {
+                       auto const key = body["stream"].asString();
+                       model_.cancel(key);
+                       auto const response = open_responses_.find(key);
+                       if (response != open_responses_.end())
+                       {
+                           response->second->end_events();
+                           open_responses_.erase(response);
+                       }
+                       request->reply(200, "{}");
+                   });
 }
 
 void standin_engine_server::order(exchange const &request)
 {
-    with_body(request,
-              [this, &request](Json::Value const &body)
-              {
-                  Json::Value out;
-                  out["outcome"] = name_of(
-                      model_.order(read_order(body), daemon_loop::clock_now()));
-                  request->reply(200, json_to_text(out));
-              });
+    with_json_body(request,
+                   [this, &request](Json::Value const &body)
+                   {
+                       Json::Value out;
+                       out["outcome"] = name_of(model_.order(
+                           parse_order(body), daemon_loop::clock_now()));
+                       request->reply(200, json_to_text(out));
+                   });
 }
 
 void standin_engine_server::load(exchange const &request)
@@ -276,7 +278,7 @@
     Json::Value after;
     after = request->query("after");
     Json::Value out(Json::arrayValue);
-    for (auto const &event : model_.cache_events_after(parse_number(after)))
+    for (auto const &event : model_.cache_events_after(parse_uint64(after)))
     {
         Json::Value item;
         item["sequence"] = Json::UInt64(event.sequence);
@@ -291,25 +293,25 @@
 
 void standin_engine_server::kv_transfer(exchange const &request)
 {
-    with_body(request,
-              [&request](Json::Value const &body)
-              {
-                  Json::Value out;
-                  out["stream"] = body["stream"];
-                  out["tokens"] = body.get("prompt_tokens", 0);
-                  request->reply(200, json_to_text(out));
-              });
+    with_json_body(request,
+                   [&request](Json::Value const &body)
+                   {
+                       Json::Value out;
+                       out["stream"] = body["stream"];
+                       out["tokens"] = body.get("prompt_tokens", 0);
+                       request->reply(200, json_to_text(out));
+                   });
 }
 
 void standin_engine_server::advance()
 {
     std::vector<standin_event> events;
     model_.advance(daemon_loop::clock_now(), events);
-    std::ranges::for_each(events,
-                          [this](standin_event const &event) { write(event); });
+    std::ranges::for_each(events, [this](standin_event const &event)
+                          { write_event(event); });
 }
 
-void standin_engine_server::plan_step()
+void standin_engine_server::schedule_step()
 {
     auto const next = model_.next_step();
     if (timer_source_ != 0 || !next)
@@ -324,7 +326,7 @@
             auto *server = static_cast<standin_engine_server *>(self);
             server->timer_source_ = 0;
             server->advance();
-            server->plan_step();
+            server->schedule_step();
             return G_SOURCE_REMOVE;
         },
         this);
--- a/src/standin_engine_server.hpp
+++ b/src/standin_engine_server.hpp
@@ -11,16 +11,16 @@
 namespace agateledge
 {
 
-/// Engine stand-in on a socket of its own, in real time. Speaks the protocol
-/// that the daemon's engine client uses: /v1/generate, /v1/cancel, /v1/orders,
-/// /v1/load, /v1/cache_events, /v1/kv/export and /v1/kv/import.
+/// HTTP server that runs an engine stand-in in real time. Implements the
+/// protocol of the daemon's engine client: /v1/generate, /v1/cancel,
+/// /v1/orders, /v1/load, /v1/cache_events, /v1/kv/export and /v1/kv/import.
 class standin_engine_server
 {
 public:
     explicit standin_engine_server(standin_engine_options options);
     ~standin_engine_server();
 
-    /// @param address IP address and port; port 0 takes a free one
+    /// @param address IP address and port; port 0 selects a free port
     absl::Status listen(std::string const &address);
     std::string address() const { return server_.address(); }
 
@@ -37,18 +37,19 @@
     void cache_events(exchange const &request);
     void kv_transfer(exchange const &request);
     void advance();
-    void plan_step();
-    void write(standin_event const &event);
+    void schedule_step();
+    void write_event(standin_event const &event);
 
     standin_engine model_;
     http_server server_;
-    std::map<std::string, exchange> readers_;
+    /// Open event streams by stream key.
+    std::map<std::string, exchange> open_responses_;
     unsigned timer_source_ = 0;
 };
 
-/// Length of the answer that the engine stand-in generates: the number after
-/// "len=" in the prompt if there is one, or else a length that the seed fixes,
-/// and `max_tokens` at the most.
+/// Length of the answer that the engine stand-in generates, in tokens: the
+/// number after "len=" in the prompt if there is one, otherwise a length
+/// derived from the seed; at most `max_tokens`.
 int standin_answer_length(std::string const &prompt, std::uint64_t seed,
                           int max_tokens);
 
--- a/src/standin_fleet.cpp
+++ b/src/standin_fleet.cpp
@@ -16,7 +16,8 @@
 constexpr double weight_bytes_per_second = 1e9;
 constexpr char const *any_loopback_port = "127.0.0.1:0";
 
-/// Listens on `address`, or on a free port that replaces it.
+/// Listens on `address`, or on a free loopback port, and sets `address` to the
+/// address in use.
 template <class Server>
 absl::Status listen(Server &server, std::string &address, bool free_ports)
 {
@@ -36,40 +37,40 @@
 {
 }
 
-absl::Status standin_fleet::start(settings &value, bool free_ports)
+absl::Status standin_fleet::start(settings &config, bool free_ports)
 {
-    if (auto status = start_platform(value, free_ports); !status.ok())
+    if (auto status = start_platform(config, free_ports); !status.ok())
     {
         return status;
     }
-    if (auto status = start_engines(value, free_ports); !status.ok())
+    if (auto status = start_engines(config, free_ports); !status.ok())
     {
         return status;
     }
-    if (auto status = start_endpoints(value, free_ports); !status.ok())
+    if (auto status = start_endpoints(config, free_ports); !status.ok())
     {
         return status;
     }
-    list_hosts(value);
+    publish_hosts(config);
     return absl::OkStatus();
 }
 
-absl::Status standin_fleet::start_platform(settings &value, bool free_ports)
+absl::Status standin_fleet::start_platform(settings &config, bool free_ports)
 {
-    if (auto status = listen(table_, value.table_address, free_ports);
+    if (auto status = listen(table_, config.table_address, free_ports);
         !status.ok())
     {
         return status;
     }
-    auto status = listen(platform_, value.membership_address, free_ports);
-    value.object_store_address = value.membership_address;
-    value.weight_store_address = value.membership_address;
+    auto status = listen(platform_, config.membership_address, free_ports);
+    config.object_store_address = config.membership_address;
+    config.weight_store_address = config.membership_address;
     return status;
 }
 
-absl::Status standin_fleet::start_engines(settings &value, bool free_ports)
+absl::Status standin_fleet::start_engines(settings &config, bool free_ports)
 {
-    for (auto &definition : value.initial.engines)
+    for (auto &definition : config.initial.engines)
     {
         auto server = std::make_unique<standin_engine_server>(
             standin_options_of(definition, ++seed_));
@@ -83,9 +84,9 @@
     return absl::OkStatus();
 }
 
-absl::Status standin_fleet::start_endpoints(settings &value, bool free_ports)
+absl::Status standin_fleet::start_endpoints(settings &config, bool free_ports)
 {
-    for (auto &definition : value.initial.endpoints)
+    for (auto &definition : config.initial.endpoints)
     {
         auto server = std::make_unique<standin_service_server>(
             services_[definition.service]);
@@ -99,7 +100,7 @@
     return absl::OkStatus();
 }
 
-void standin_fleet::list_hosts(settings const &value)
+void standin_fleet::publish_hosts(settings const &config)
 {
     std::vector<host_entry> hosts;
     auto const add = [&hosts](auto const &definition)
@@ -107,8 +108,8 @@
         hosts.push_back({definition.name, definition.data_centre,
                          definition.address, false, false});
     };
-    std::ranges::for_each(value.initial.engines, add);
-    std::ranges::for_each(value.initial.endpoints, add);
+    std::ranges::for_each(config.initial.engines, add);
+    std::ranges::for_each(config.initial.endpoints, add);
     platform_.set_hosts(std::move(hosts));
 }
 
--- a/src/standin_fleet.hpp
+++ b/src/standin_fleet.hpp
@@ -19,22 +19,25 @@
 
 struct settings;
 
-/// Stand-ins for everything around the daemons of one deployment: engines,
-/// endpoints of plain services, table service, stores and membership list.
+/// Stand-ins for the services that the daemons of one deployment depend on:
+/// engines, endpoints of plain services, table service, object and weight store
+/// and membership list.
 class standin_fleet
 {
 public:
     /// @param seed seed of the stand-ins' random choices
     explicit standin_fleet(std::uint64_t seed);
 
-    /// Starts a stand-in for each address that the settings name.
+    /// Starts a stand-in for each address in the settings.
     ///
-    /// @param value settings whose addresses are replaced by free loopback
-    ///        ports when `free_ports` is set
+    /// @param config settings; each address is replaced by the one that the
+    ///        stand-in listens on
+    /// @param free_ports true to listen on free loopback ports instead of the
+    ///        addresses in the settings
     /// @return `settings_invalid` when an address cannot be listened on
-    absl::Status start(settings &value, bool free_ports);
+    absl::Status start(settings &config, bool free_ports);
 
-    /// @return bookings that had more than one effect
+    /// @return number of bookings with more than one effect
     int doubled_bookings() const;
 
     std::map<std::string, standin_service> const &services() const
@@ -51,10 +54,10 @@
     standin_platform_server &platform() { return platform_; }
 
 private:
-    absl::Status start_platform(settings &value, bool free_ports);
-    absl::Status start_engines(settings &value, bool free_ports);
-    absl::Status start_endpoints(settings &value, bool free_ports);
-    void list_hosts(settings const &value);
+    absl::Status start_platform(settings &config, bool free_ports);
+    absl::Status start_engines(settings &config, bool free_ports);
+    absl::Status start_endpoints(settings &config, bool free_ports);
+    void publish_hosts(settings const &config);
 
     std::uint64_t seed_;
     standin_table_server table_;
--- a/src/standin_platform_server.cpp
+++ b/src/standin_platform_server.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Size of the weights of every model of the stand-in, in bytes.
+/// Size of the weights of each model, in bytes.
 constexpr double weight_bytes = 2e9;
 
 Json::Value to_json(host_entry const &host)
@@ -63,23 +63,23 @@
 
 void standin_platform_server::set_hosts(std::vector<host_entry> hosts)
 {
-    // The first list is in force at once: a platform that has just started
-    // would otherwise give out an empty one.
+    // The first list is visible without delay: otherwise a platform that has
+    // just started would return an empty list.
     auto const now = daemon_loop::clock_now();
-    auto const since = lists_.empty() ? now - membership_lag_ : now;
-    lists_.push_back({since, std::move(hosts)});
+    auto const since = host_lists_.empty() ? now - membership_lag_ : now;
+    host_lists_.push_back({since, std::move(hosts)});
 }
 
 void standin_platform_server::list_hosts(exchange const &request) const
 {
-    auto const shown_at = daemon_loop::clock_now() - membership_lag_;
-    auto const shown = std::find_if(lists_.rbegin(), lists_.rend(),
-                                    [shown_at](host_list const &list)
-                                    { return list.since <= shown_at; });
+    auto const visible_at = daemon_loop::clock_now() - membership_lag_;
+    auto const visible = std::find_if(host_lists_.rbegin(), host_lists_.rend(),
+                                      [visible_at](host_list const &list)
+                                      { return list.since <= visible_at; });
     Json::Value hosts(Json::arrayValue);
-    if (shown != lists_.rend())
+    if (visible != host_lists_.rend())
     {
-        std::ranges::for_each(shown->hosts, [&hosts](host_entry const &host)
+        std::ranges::for_each(visible->hosts, [&hosts](host_entry const &host)
                               { hosts.append(to_json(host)); });
     }
     Json::Value out;
@@ -108,10 +108,11 @@
 void standin_platform_server::serve_weights(exchange const &request)
 {
     auto const now = daemon_loop::clock_now();
-    weights_free_at_ = std::max(weights_free_at_, now) +
-                       from_seconds(weight_bytes / weight_bytes_per_second_);
+    weight_transfers_end_at_ =
+        std::max(weight_transfers_end_at_, now) +
+        from_seconds(weight_bytes / weight_bytes_per_second_);
     auto const delay =
-        std::chrono::ceil<milliseconds>(weights_free_at_ - now).count();
+        std::chrono::ceil<milliseconds>(weight_transfers_end_at_ - now).count();
     request->defer();
     g_timeout_add_full(
         G_PRIORITY_DEFAULT, static_cast<guint>(delay), send_weights,
--- a/src/standin_platform_server.hpp
+++ b/src/standin_platform_server.hpp
@@ -14,19 +14,18 @@
 {
 
 /// Stand-in for the platform's membership list, object store and weight store.
-/// GET /v1/hosts answers with the list as it was `membership_lag` ago;
-/// PUT and GET /v1/objects/<key> store and fetch objects; GET
-/// /v1/weights/<name> answers after the time that its bytes take at the
-/// store's rate.
+/// GET /v1/hosts returns the list as it was `membership_lag` ago; PUT and GET
+/// /v1/objects/<key> store and fetch objects; GET /v1/weights/<name> responds
+/// after the time that the transfer takes at the store's bandwidth.
 class standin_platform_server
 {
 public:
-    /// @param membership_lag age of the list that is given out
-    /// @param weight_bytes_per_second rate that all fetches of weights share
+    /// @param membership_lag delay until a change of the list is visible
+    /// @param weight_bytes_per_second bandwidth shared by all weight transfers
     standin_platform_server(duration membership_lag,
                             double weight_bytes_per_second);
 
-    /// @param address IP address and port; port 0 takes a free one
+    /// @param address IP address and port; port 0 selects a free port
     absl::Status listen(std::string const &address);
     std::string address() const { return server_.address(); }
 
@@ -48,9 +47,9 @@
 
     duration membership_lag_;
     double weight_bytes_per_second_;
-    /// Time at which the weight store has sent all that was asked for.
-    instant weights_free_at_{};
-    std::vector<host_list> lists_;
+    /// Time at which the last requested weight transfer ends.
+    instant weight_transfers_end_at_{};
+    std::vector<host_list> host_lists_;
     std::map<std::string, std::string> objects_;
     http_server server_;
 };
--- a/src/standin_service.hpp
+++ b/src/standin_service.hpp
@@ -8,7 +8,7 @@
 namespace agateledge
 {
 
-/// Answer of the plain service stand-in.
+/// HTTP response of the plain service stand-in.
 struct standin_answer_body
 {
     int http_status = 200;
@@ -16,23 +16,24 @@
 };
 
 /// Model of a plain service, shared by all its endpoints. It applies every
-/// POST that it receives and counts the effects by idempotency key, so that a
-/// doubled booking is seen. It does not deduplicate.
+/// POST that it receives and counts the effects by idempotency key. It does not
+/// deduplicate, so that tests can detect duplicate bookings.
 class standin_service
 {
 public:
-    /// Carries out one call.
+    /// Handles one call.
     ///
-    /// @param method "POST" has an effect, "GET" asks for the count
+    /// @param method "POST" has an effect; any other method returns the number
+    ///        of effects
     /// @param key idempotency key of the call
     /// @param body body of the call
     standin_answer_body call(std::string const &method, std::string const &key,
                              std::string const &body);
 
-    /// @return effects by idempotency key
+    /// @return number of effects by idempotency key
     std::map<std::string, int> const &effects() const { return effects_; }
 
-    /// @return keys with more than one effect
+    /// @return number of keys with more than one effect
     int doubled() const;
 
 private:
--- a/src/standin_service_server.hpp
+++ b/src/standin_service_server.hpp
@@ -10,17 +10,18 @@
 namespace agateledge
 {
 
-/// One endpoint of the plain service stand-in, on a socket of its own. Several
-/// endpoints share one model. GET /effects lists the effects by key, for tests.
+/// HTTP server for one endpoint of the plain service stand-in. Several
+/// endpoints share one model. GET /effects returns the number of effects by
+/// idempotency key, for tests.
 class standin_service_server
 {
 public:
     /// @param model the service; outlives the server
-    /// @param latency time from a call's effect to its answer
+    /// @param latency time from the effect of a call to its response
     explicit standin_service_server(standin_service &model,
                                     duration latency = milliseconds(2));
 
-    /// @param address IP address and port; port 0 takes a free one
+    /// @param address IP address and port; port 0 selects a free port
     absl::Status listen(std::string const &address);
     std::string address() const { return server_.address(); }
 
--- a/src/standin_table.hpp
+++ b/src/standin_table.hpp
@@ -14,11 +14,11 @@
 class standin_table
 {
 public:
-    /// Carries out one read or one transaction: all conditions hold and all
-    /// writes take effect, or none does.
+    /// Executes one read or one transaction. A transaction applies all its
+    /// writes if all conditions hold, and otherwise none.
     table_reply apply(table_call const &call);
 
-    /// @return the row; its version is 0 when it is absent
+    /// @return the row; its version is 0 if the row does not exist
     table_row row(std::string const &key) const;
 
     std::map<std::string, table_row> const &rows() const { return rows_; }
@@ -30,7 +30,7 @@
     bool holds(table_condition const &condition) const;
 
     std::map<std::string, table_row> rows_;
-    /// Versions are never used again, also not after a delete.
+    /// Versions are never reused, not even after a row is deleted.
     std::uint64_t last_version_ = 0;
     std::uint64_t reads_ = 0;
     std::uint64_t writes_ = 0;
--- a/src/standin_table_server.cpp
+++ b/src/standin_table_server.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-table_call read_call(Json::Value const &body)
+table_call parse_call(Json::Value const &body)
 {
     table_call call;
     for (auto const &key : body["keys"])
@@ -36,7 +36,7 @@
     return call;
 }
 
-std::string to_text(table_reply const &reply)
+std::string reply_to_json(table_reply const &reply)
 {
     Json::Value rows(Json::arrayValue);
     for (auto const &row : reply.rows)
@@ -81,14 +81,14 @@
         request->reply(400, R"({"error":"body is not a JSON object"})");
         return;
     }
-    auto const call = read_call(*body);
+    auto const call = parse_call(*body);
     auto const reply = model_.apply(call);
     if (call.is_write() && random_.uniform() < lost_answers_)
     {
         request->reply(504, R"({"error":"answer lost"})");
         return;
     }
-    request->reply(200, to_text(reply));
+    request->reply(200, reply_to_json(reply));
 }
 
 void standin_table_server::set_faults(exchange const &request)
--- a/src/standin_table_server.hpp
+++ b/src/standin_table_server.hpp
@@ -12,16 +12,16 @@
 namespace agateledge
 {
 
-/// Table service stand-in on a socket of its own: POST /v1/read and
-/// /v1/transact. POST /faults {"outage":bool,"lost_answers":share} brings
-/// about outages and lost answers, for tests.
+/// HTTP server of the table service stand-in: POST /v1/read and /v1/transact.
+/// For tests, POST /faults {"outage":bool,"lost_answers":share} injects outages
+/// and lost answers.
 class standin_table_server
 {
 public:
-    /// @param seed seed for the choice of the answers that are lost
+    /// @param seed seed of the random choice of lost answers
     explicit standin_table_server(std::uint64_t seed = 1);
 
-    /// @param address IP address and port; port 0 takes a free one
+    /// @param address IP address and port; port 0 selects a free port
     absl::Status listen(std::string const &address);
     std::string address() const { return server_.address(); }
 
@@ -37,7 +37,7 @@
     random_source random_;
     http_server server_;
     bool outage_ = false;
-    /// Share of the answers to writes that are lost after the write.
+    /// Share of writes, from 0 to 1, that are applied but whose answer is lost.
     double lost_answers_ = 0;
 };
 
--- a/src/standin_text.cpp
+++ b/src/standin_text.cpp
@@ -7,9 +7,9 @@
 
 std::string standin_token(std::uint64_t seed, int position)
 {
-    constexpr std::uint64_t vocabulary = 1000;
+    constexpr std::uint64_t vocabulary_size = 1000;
     random_source random(seed ^ (static_cast<std::uint64_t>(position) << 32U));
-    return "w" + std::to_string(random.below(vocabulary)) + " ";
+    return "w" + std::to_string(random.below(vocabulary_size)) + " ";
 }
 
 std::string standin_answer(std::uint64_t seed, int tokens)
