--- a/harness/bench_caller.cpp
+++ b/harness/bench_caller.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-constexpr std::string_view answer_end = "\r\n0\r\n\r\n";
+constexpr std::string_view last_chunk = "\r\n0\r\n\r\n";
 
 duration clock_now()
 {
@@ -30,21 +30,21 @@
 
 int open_socket(int port)
 {
-    auto const made = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    auto const descriptor = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<std::uint16_t>(port));
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     int const on = 1;
-    setsockopt(made, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    if (connect(made, reinterpret_cast<sockaddr *>(&address),
+    setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
+    if (connect(descriptor, reinterpret_cast<sockaddr *>(&address),
                 sizeof(address)) != 0)
     {
-        close(made);
+        close(descriptor);
         return -1;
     }
-    fcntl(made, F_SETFL, O_NONBLOCK);
-    return made;
+    fcntl(descriptor, F_SETFL, O_NONBLOCK);
+    return descriptor;
 }
 
 } // namespace
@@ -111,9 +111,10 @@
         return false;
     }
     item.tail.append(buffer.data(), static_cast<std::size_t>(count));
-    constexpr std::size_t kept = 64;
-    item.tail.erase(0, item.tail.size() - std::min(item.tail.size(), kept));
-    if (!item.tail.ends_with(answer_end))
+    constexpr std::size_t tail_bytes = 64;
+    item.tail.erase(0,
+                    item.tail.size() - std::min(item.tail.size(), tail_bytes));
+    if (!item.tail.ends_with(last_chunk))
     {
         return false;
     }
--- a/harness/bench_caller.hpp
+++ b/harness/bench_caller.hpp
@@ -10,36 +10,39 @@
 namespace agateledge
 {
 
-/// Callers of a benchmark: kept connections over which the same HTTP request is
-/// sent, cheap enough not to be what is measured.
+/// Load generator of a benchmark. Sends the same HTTP request repeatedly over
+/// persistent connections, with a CPU cost low enough not to affect the
+/// results.
 class bench_caller
 {
 public:
     /// @param port loopback port of the server
-    /// @param request bytes of the request; its answer is sent in chunks
+    /// @param request bytes of the request; the answer must have the chunked
+    ///        transfer encoding, whose last chunk marks its end
     bench_caller(int port, std::string request);
     ~bench_caller();
     bench_caller(bench_caller const &) = delete;
     bench_caller &operator=(bench_caller const &) = delete;
 
-    /// Sends the request on a connection that is idle or new.
+    /// Sends the request on an idle connection, or on a new one if none is
+    /// idle.
     void begin();
 
-    /// Reads what has arrived.
+    /// Reads the bytes that have been received.
     ///
-    /// @param wait longest time to wait for bytes
-    /// @return answers that were completed
+    /// @param wait maximum time to wait for bytes, less than 1 s
+    /// @return number of answers that were completed
     std::size_t read(duration wait);
 
-    /// @return requests whose answer is not complete
+    /// @return number of requests whose answer is incomplete
     std::size_t open() const { return open_; }
 
-    /// @return open requests of which some bytes have been answered
+    /// @return number of open requests whose answer has begun
     std::size_t begun() const;
 
     std::size_t failed() const { return failed_; }
 
-    /// Times from request to the end of the answer.
+    /// Times from the request to the end of its answer.
     std::vector<duration> latencies;
 
 private:
@@ -47,6 +50,7 @@
     {
         int socket = -1;
         bool busy = false;
+        /// Last bytes of the answer received so far.
         std::string tail;
         duration started{};
     };
--- a/harness/bench_process.cpp
+++ b/harness/bench_process.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-/// Bound on the life of a child whose benchmark hangs.
-constexpr unsigned max_life_seconds = 120;
+/// Time after which a child ends even if its benchmark hangs.
+constexpr unsigned max_lifetime_seconds = 120;
 
 std::string read_line(int descriptor)
 {
@@ -35,8 +35,8 @@
     std::function<void(std::function<void(std::string const &)> const &)> const
         &serve)
 {
-    std::array<int, 2> ends{};
-    if (pipe(ends.data()) != 0)
+    std::array<int, 2> pipe_ends{};
+    if (pipe(pipe_ends.data()) != 0)
     {
         return;
     }
@@ -44,20 +44,20 @@
     if (child_ == 0)
     {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
-        alarm(max_life_seconds);
-        close(ends[0]);
+        alarm(max_lifetime_seconds);
+        close(pipe_ends[0]);
         serve(
-            [&ends](std::string const &line)
+            [&pipe_ends](std::string const &line)
             {
                 auto const text = line + "\n";
                 [[maybe_unused]] auto const count =
-                    write(ends[1], text.data(), text.size());
+                    write(pipe_ends[1], text.data(), text.size());
             });
         _exit(0);
     }
-    close(ends[1]);
-    line_ = read_line(ends[0]);
-    close(ends[0]);
+    close(pipe_ends[1]);
+    line_ = read_line(pipe_ends[0]);
+    close(pipe_ends[0]);
 }
 
 bench_process::~bench_process()
@@ -72,10 +72,10 @@
     std::string const text((std::istreambuf_iterator<char>(file)), {});
     std::istringstream rest(text.substr(text.rfind(')') + 2));
     std::string skipped;
-    // The fields after the name begin with the third; user and system time are
-    // the 14th and the 15th.
-    constexpr int fields_before = 11;
-    for (int i = 0; i < fields_before; ++i)
+    // The first field after the process name is the third of the line; user and
+    // system time are the 14th and 15th.
+    constexpr int skipped_fields = 11;
+    for (int i = 0; i < skipped_fields; ++i)
     {
         rest >> skipped;
     }
--- a/harness/bench_process.hpp
+++ b/harness/bench_process.hpp
@@ -10,15 +10,16 @@
 namespace agateledge
 {
 
-/// Child process of a benchmark with its own GLib main loop. It ends with the
-/// benchmark, and after two minutes by itself.
+/// Child process of a benchmark, with its own GLib main loop. It is killed when
+/// the benchmark ends, and at the latest after two minutes.
 class bench_process
 {
 public:
-    /// Starts the process.
+    /// Starts the process and waits until it has sent its line.
     ///
-    /// @param serve sets the servers up in the child, calls its argument with
-    ///        a line for the parent, and runs until the process is ended
+    /// @param serve called in the child: starts the servers, passes one line
+    /// for
+    ///        the parent to its argument, and runs until the process is killed
     explicit bench_process(
         std::function<void(
             std::function<void(std::string const &)> const &)> const &serve);
@@ -26,13 +27,13 @@
     bench_process(bench_process const &) = delete;
     bench_process &operator=(bench_process const &) = delete;
 
-    /// @return the line that the child sent
+    /// @return the line that the child sent; empty if it ended without one
     std::string const &line() const { return line_; }
 
     /// @return CPU time that the child has used, in seconds
     double cpu_seconds() const;
 
-    /// @return memory that the child has resident, in bytes
+    /// @return resident memory of the child, in bytes
     std::int64_t resident_bytes() const;
 
 private:
--- a/harness/edge_deployment.hpp
+++ b/harness/edge_deployment.hpp
@@ -14,30 +14,35 @@
 namespace agateledge
 {
 
-/// One daemon on loopback ports with an engine, a plain service and a table
-/// service whose answers a test scripts, all on the default main context.
+/// One daemon with an engine, a plain service and a table service, on loopback
+/// ports and the default main context. The test sets the answers of the engine
+/// and of the service; the table service is a stand-in.
 class edge_deployment
 {
 public:
-    /// @param adjust changes the settings before the start
+    /// @param adjust changes the settings before the daemon starts
     explicit edge_deployment(
         std::function<void(settings &)> const &adjust = {});
 
     /// @return port of the callers' listener
     int port() { return daemon->callers().gate().port(); }
 
-    /// Sends one request with the test's token on a new connection and returns
-    /// all that was received up to `until`.
+    /// Sends one request with `caller_headers` on a new connection.
+    ///
+    /// @param until text at which reading stops
+    /// @return all bytes received until `until` or a time-out
     std::string call(std::string_view method, std::string_view path,
                      std::string_view headers, std::string_view body,
                      std::string_view until);
 
-    /// Answers POST /v1/generate; by default three tokens "t0 t1 t2 ".
+    /// Handles POST /v1/generate; by default generates the three tokens
+    /// "t0 t1 t2 ".
     http_script::handler on_generate;
-    /// Answers calls of the plain service; by default {"seat":12}.
+    /// Handles calls of the plain service; by default answers {"seat":12}.
     http_script::handler on_service;
-    /// Requests that the engine and the service have received, by path.
+    /// Number of requests that the engine and the service received, by path.
     std::map<std::string, int> requests;
+    /// Content of the table service.
     standin_table rows;
     std::unique_ptr<http_script> engine;
     std::unique_ptr<http_script> service;
@@ -45,7 +50,7 @@
     std::unique_ptr<daemon_process> daemon;
 };
 
-/// Headers of the test's caller.
+/// Headers that authenticate the caller of the test.
 inline constexpr std::string_view caller_headers =
     "Authorization: Bearer stand-token\r\nContent-Type: application/json\r\n";
 
--- a/harness/example_deployment.cpp
+++ b/harness/example_deployment.cpp
@@ -104,7 +104,7 @@
 example_deployment make_example_deployment(std::string const &name)
 {
     internal_assert(name == "kerbrat" || name == "bellhaven",
-                    "no deployment \"", name, "\"");
+                    "unknown example deployment \"", name, "\"");
     auto out = name == "kerbrat" ? make_kerbrat() : make_bellhaven();
     out.config.revision = revision_number(1);
     out.config.policy.drain_timeout = seconds(3);
--- a/harness/example_deployment.hpp
+++ b/harness/example_deployment.hpp
@@ -9,7 +9,7 @@
 namespace agateledge
 {
 
-/// Prompt and answer lengths of one class, in tokens.
+/// Prompt and answer lengths of the requests of one class, in tokens.
 struct class_shape
 {
     std::string name;
@@ -17,17 +17,17 @@
     int output_tokens = 0;
 };
 
-/// One of the deployments in the documentation, with fewer engines.
+/// One of the example deployments of the documentation, with fewer engines.
 struct example_deployment
 {
     configuration config;
     std::vector<std::string> data_centres;
-    /// Shapes of the model requests, by class.
+    /// Lengths of the model requests, one entry per class.
     std::vector<class_shape> shapes;
     std::string model;
-    /// Plain service that takes bookings.
+    /// Name of the plain service that accepts bookings.
     std::string booking_service;
-    /// True when callers ask for the status of bookings.
+    /// True if callers query the status of bookings.
     bool has_status_checks = false;
 };
 
--- a/harness/fixed_reply_server.cpp
+++ b/harness/fixed_reply_server.cpp
@@ -16,9 +16,9 @@
 namespace
 {
 
-/// Bytes at the end of a reply that an endless one repeats.
+/// Number of bytes at the end of the reply that an endless reply repeats.
 constexpr std::size_t repeated_bytes = 1;
-/// Bytes that an endless reply sends at once.
+/// Bytes per send call of an endless reply.
 constexpr std::size_t block_bytes = 65536;
 
 sockaddr_in loopback()
@@ -40,13 +40,13 @@
                          reinterpret_cast<sockaddr const *>(&address),
                          sizeof(address)) == 0 &&
                         listen(listener_, 1) == 0,
-                    "no loopback port is free");
+                    "cannot listen on a loopback port");
     thread_ = std::thread([this] { serve(); });
 }
 
 fixed_reply_server::~fixed_reply_server()
 {
-    ends_ = true;
+    stopping_ = true;
     shutdown(listener_, SHUT_RDWR);
     thread_.join();
     close(listener_);
@@ -64,7 +64,7 @@
     return "127.0.0.1:" + std::to_string(ntohs(bound.sin_port));
 }
 
-void fixed_reply_server::send_without_end()
+void fixed_reply_server::send_endless_reply()
 {
     auto const tail = reply_.substr(reply_.size() - repeated_bytes);
     std::string filler;
@@ -72,9 +72,10 @@
     {
         filler += tail;
     }
-    timeval const pause{0, 100'000};
-    setsockopt(connection_, SOL_SOCKET, SO_SNDTIMEO, &pause, sizeof(pause));
-    while (!ends_)
+    timeval const send_timeout{0, 100'000};
+    setsockopt(connection_, SOL_SOCKET, SO_SNDTIMEO, &send_timeout,
+               sizeof(send_timeout));
+    while (!stopping_)
     {
         auto const sent =
             send(connection_, filler.data(), filler.size(), MSG_NOSIGNAL);
@@ -102,14 +103,14 @@
     send(connection_, reply_.data(), reply_.size(), MSG_NOSIGNAL);
     if (ending_ == reply_ending::endless)
     {
-        send_without_end();
+        send_endless_reply();
         return;
     }
     if (ending_ == reply_ending::reset)
     {
-        linger const at_once{1, 0};
-        setsockopt(connection_, SOL_SOCKET, SO_LINGER, &at_once,
-                   sizeof(at_once));
+        linger const reset_on_close{1, 0};
+        setsockopt(connection_, SOL_SOCKET, SO_LINGER, &reset_on_close,
+                   sizeof(reset_on_close));
     }
     if (ending_ != reply_ending::keep_open)
     {
--- a/harness/fixed_reply_server.hpp
+++ b/harness/fixed_reply_server.hpp
@@ -9,19 +9,20 @@
 namespace agateledge
 {
 
-/// How a `fixed_reply_server` ends a connection after its reply.
+/// What a `fixed_reply_server` does with the connection after its reply.
 enum class reply_ending
 {
     keep_open,
     close,
     reset,
-    /// The reply's last bytes are repeated until the caller closes.
+    /// Repeats the last byte of the reply until the caller closes.
     endless,
 };
 
-/// Server in a thread of its own, like a process of its own, that answers the
-/// first bytes of one connection with fixed bytes, whether or not they are
-/// HTTP.
+/// Server that accepts one connection and answers the first bytes received on
+/// it with fixed bytes, which need not be valid HTTP. It runs in its own
+/// thread, so that, as with a separate process, it does not depend on the main
+/// loop of the code under test.
 class fixed_reply_server
 {
 public:
@@ -33,7 +34,7 @@
     /// @return IP address and port
     std::string address() const;
 
-    /// @return bytes that the caller's side has taken
+    /// @return bytes of an endless reply that the socket has accepted
     std::size_t bytes_sent() const { return bytes_sent_; }
 
     /// @return true once the caller has closed an endless reply
@@ -41,7 +42,7 @@
 
 private:
     void serve();
-    void send_without_end();
+    void send_endless_reply();
 
     std::string reply_;
     reply_ending ending_;
@@ -49,7 +50,7 @@
     int connection_ = -1;
     std::atomic<std::size_t> bytes_sent_ = 0;
     std::atomic<bool> closed_by_caller_ = false;
-    std::atomic<bool> ends_ = false;
+    std::atomic<bool> stopping_ = false;
     std::thread thread_;
 };
 
--- a/harness/http_script.hpp
+++ b/harness/http_script.hpp
@@ -11,11 +11,11 @@
 namespace agateledge
 {
 
-/// HTTP server on a loopback port whose answers a test scripts.
+/// HTTP server on a loopback port whose answers are set by the test.
 class http_script
 {
 public:
-    /// Called with each request; it sets the answer, or pauses the message.
+    /// Called for each request; sets the answer or pauses the message.
     using handler =
         std::function<void(SoupServerMessage *message, std::string const &path,
                            std::string const &body)>;
@@ -31,7 +31,7 @@
     /// Closes the listener and all connections.
     void stop();
 
-    /// Answers with one whole document.
+    /// Sets a complete answer with a JSON body.
     static void answer(SoupServerMessage *message, int status,
                        std::string const &body);
 
--- a/harness/raw_client.cpp
+++ b/harness/raw_client.cpp
@@ -78,13 +78,14 @@
 
 bool raw_client::read_until(std::string_view text, duration limit)
 {
-    std::size_t searched = 0;
+    std::size_t searched_bytes = 0;
     return run_until(
-        [this, text, &searched]
+        [this, text, &searched_bytes]
         {
             read_available();
-            auto const from = searched - std::min(searched, text.size());
-            searched = received.size();
+            auto const from =
+                searched_bytes - std::min(searched_bytes, text.size());
+            searched_bytes = received.size();
             return received.find(text, from) != std::string::npos;
         },
         limit);
--- a/harness/raw_client.hpp
+++ b/harness/raw_client.hpp
@@ -10,13 +10,14 @@
 namespace agateledge
 {
 
-/// Runs the default main context until `done` holds.
+/// Runs the default main context until `done` returns true.
 ///
-/// @return false when `limit` has passed before
+/// @return false on a time-out after `limit`
 bool run_until(std::function<bool()> const &done, duration limit = seconds(5));
 
-/// Caller that writes bytes to a socket as it likes, in the same thread as the
-/// daemon under test.
+/// Client that sends arbitrary bytes on a socket, which need not be valid HTTP.
+/// It runs in the same thread as the daemon under test and runs the default
+/// main context while it waits.
 class raw_client
 {
 public:
@@ -26,36 +27,41 @@
     raw_client(raw_client const &) = delete;
     raw_client &operator=(raw_client const &) = delete;
 
-    /// Sends all bytes while the main context runs.
+    /// Sends all bytes, and runs the main context meanwhile.
     ///
-    /// @return false when the connection was cut
+    /// @return false if the connection failed
     bool send(std::string_view bytes);
 
-    /// Reads until `text` has arrived, and runs the main context meanwhile.
+    /// Reads until `text` has been received, and runs the main context
+    /// meanwhile.
     ///
-    /// @return false when it did not arrive in time
+    /// @return false on a time-out after `limit`
     bool read_until(std::string_view text, duration limit = seconds(5));
 
-    /// @return true when the daemon closed the connection in time
+    /// Reads until the daemon closes the connection.
+    ///
+    /// @return false on a time-out after `limit`
     bool read_until_closed(duration limit = seconds(5));
 
-    /// Reads what has arrived.
+    /// Reads all bytes that are available, without waiting.
     void read_available();
 
-    /// Closes the sending side only.
+    /// Closes the sending direction only.
     void shut_down_sending();
 
     void close();
 
     /// Bytes received so far.
     std::string received;
+    /// True if the connection could not be opened, was closed or failed.
     bool closed = false;
 
 private:
     int socket_;
 };
 
-/// @return HTTP/1.1 request with `body` and its length
+/// @param headers header lines, each with its line end
+/// @return bytes of an HTTP/1.1 request with `body` and its Content-Length
 std::string http_text(std::string_view method, std::string_view path,
                       std::string_view headers, std::string_view body);
 
