--- a/tools/authority_bench.cpp
+++ b/tools/authority_bench.cpp
@@ -1,5 +1,6 @@
-// Measures in virtual time how long it takes to take over the lease of a data
-// centre whose holder stops, and to put a revision in force everywhere.
+// Measures in virtual time how long it takes until another daemon acquires the
+// lease of a data centre whose holder stops, and until a new revision is active
+// on all daemons.
 #include "json_text.hpp"
 #include "propose_configuration.hpp"
 #include "renew_leases.hpp"
@@ -16,8 +17,8 @@
 
 using namespace agateledge;
 
-constexpr duration settle_time = seconds(5);
-constexpr duration longest_wait = seconds(60);
+constexpr duration warm_up_time = seconds(5);
+constexpr duration max_wait = seconds(60);
 constexpr duration sample_interval = milliseconds(10);
 
 std::vector<std::string> data_centres_of(int data_centres, int daemons_each)
@@ -32,12 +33,12 @@
     return names;
 }
 
-/// @return time until `done`, or nothing when it took longer than the bound
+/// @return time until `done` returns true, or nothing after `max_wait`
 template <class Done>
 std::optional<duration> time_until(virtual_deployment &deployment, Done done)
 {
     auto const begin = deployment.now();
-    while (deployment.now() - begin < longest_wait)
+    while (deployment.now() - begin < max_wait)
     {
         if (done())
         {
@@ -48,7 +49,7 @@
     return std::nullopt;
 }
 
-bool holds(virtual_daemon const &daemon)
+bool holds_lease(virtual_daemon const &daemon)
 {
     auto const *lease = daemon.state->leases.find("dc-0");
     return !daemon.paused && lease != nullptr &&
@@ -59,14 +60,15 @@
 std::optional<duration> measure_takeover(virtual_deployment &deployment)
 {
     auto &daemons = deployment.daemons();
-    auto const holder = std::ranges::find_if(daemons, holds);
+    auto const holder = std::ranges::find_if(daemons, holds_lease);
     if (holder == daemons.end())
     {
         return std::nullopt;
     }
     holder->paused = true;
-    auto const time = time_until(
-        deployment, [&daemons] { return std::ranges::any_of(daemons, holds); });
+    auto const time =
+        time_until(deployment, [&daemons]
+                   { return std::ranges::any_of(daemons, holds_lease); });
     holder->paused = false;
     return time;
 }
@@ -102,19 +104,19 @@
     return out;
 }
 
-Json::Value measure(int data_centres, int daemons_each, int seeds)
+Json::Value measure(int data_centres, int daemons_each, int seed_count)
 {
     std::vector<duration> takeovers;
     std::vector<duration> revisions;
-    for (int seed = 1; seed <= seeds; ++seed)
+    for (int seed = 1; seed <= seed_count; ++seed)
     {
         configuration config;
         config.revision = revision_number(1);
         virtual_deployment deployment(
             config, data_centres_of(data_centres, daemons_each),
             static_cast<std::uint64_t>(seed));
-        auto const extra = milliseconds(deployment.random().below(1000));
-        deployment.run_until(instant(settle_time + extra));
+        auto const random_delay = milliseconds(deployment.random().below(1000));
+        deployment.run_until(instant(warm_up_time + random_delay));
         if (auto const time = measure_revision(deployment))
         {
             revisions.push_back(*time);
@@ -126,7 +128,7 @@
     }
     Json::Value out;
     out["daemons"] = data_centres * daemons_each;
-    out["seeds"] = seeds;
+    out["seeds"] = seed_count;
     out["takeover_s"] = summary(takeovers);
     out["revision_everywhere_s"] = summary(revisions);
     return out;
@@ -136,11 +138,11 @@
 
 int main()
 {
-    constexpr int seeds = 40;
-    constexpr int large_seeds = 3;
+    constexpr int seed_count = 40;
+    constexpr int large_seed_count = 3;
     Json::Value out(Json::arrayValue);
-    out.append(measure(4, 5, seeds));
-    out.append(measure(11, 35, large_seeds));
+    out.append(measure(4, 5, seed_count));
+    out.append(measure(11, 35, large_seed_count));
     std::cout << json_to_text(out) << '\n';
     return 0;
 }
--- a/tools/capacity_bench.cpp
+++ b/tools/capacity_bench.cpp
@@ -1,7 +1,8 @@
-// Measures what control costs one daemon at several sizes of the deployment,
-// fits a line through each series and prints the slopes as JSON. The daemon is
-// the shipped `world` and `tick`; its inputs are generated messages. Message
-// sizes are JSON plus the HTTP/1.1 headers of a kept-alive connection.
+// Measures the control-plane cost of one daemon at several deployment sizes,
+// fits a line to each series and prints the slopes as JSON. The daemon is
+// represented by the production `world` and `tick`; its inputs are generated
+// messages. Message sizes are the JSON body plus the HTTP/1.1 headers on a
+// persistent connection.
 #include "apply_configuration.hpp"
 #include "configuration_json.hpp"
 #include "json_text.hpp"
@@ -36,10 +37,10 @@
 constexpr int heartbeat_fan_out = 8;
 constexpr duration load_interval = milliseconds(200);
 constexpr duration run_length = seconds(30);
-/// Work of one daemon at the target: 1,400 requests/s over 380 daemons, of
-/// 336 tokens at 40 ms, are 50 open streams, and 13 callers seen in the last
-/// 3.5 s.
-constexpr int engines_with_own_work = 40;
+/// Load of one daemon at the target size: 1,400 requests/s over 380 daemons,
+/// with 336 tokens per request at 40 ms per token, give 50 open streams per
+/// daemon and 13 callers within the last 3.5 s.
+constexpr int engines_with_local_work = 40;
 constexpr int callers_with_demand = 13;
 
 struct deployment_size
@@ -49,7 +50,7 @@
     int accounts = 0;
 };
 
-/// What one run measured; rates are for one second of the daemon's time.
+/// Results of one run; rates are per second of the daemon's time.
 struct measurement
 {
     double tick_cpu_share = 0;
@@ -62,15 +63,15 @@
     double resident_bytes = 0;
     double document_bytes = 0;
     double parse_seconds = 0;
-    double in_force_seconds = 0;
-    double peak_bytes = 0;
+    double activation_seconds = 0;
+    double peak_resident_bytes = 0;
     double compact_heartbeat_bytes = 0;
 };
 
-constexpr std::array processor_times{
+constexpr std::array cpu_time_members{
     &measurement::tick_cpu_share, &measurement::heartbeat_cpu_share,
     &measurement::report_cpu_share, &measurement::parse_seconds,
-    &measurement::in_force_seconds};
+    &measurement::activation_seconds};
 
 double cpu_seconds()
 {
@@ -151,7 +152,7 @@
     out.sequence = sequence;
     out.revision = revision_number(1);
     out.revision_age_us = 500000;
-    for (int i = 0; i < std::min(engines_with_own_work, size.engines); ++i)
+    for (int i = 0; i < std::min(engines_with_local_work, size.engines); ++i)
     {
         auto const engine = (peer + i * 7) % size.engines;
         out.shares.push_back(
@@ -231,9 +232,9 @@
     return json_to_text(out);
 }
 
-/// Message of the form that docs/CAPACITY.md proposes: the work that all
-/// daemons of a data centre have open on each of its engines, as rows of
-/// numbers in the order of the configuration, and the caller demand.
+/// Size of the compact message proposed in docs/CAPACITY.md: the open work of
+/// all daemons of a data centre on each of its engines, as rows of numbers in
+/// the order of the configuration, and the caller demand.
 double compact_heartbeat_bytes(deployment_size const &size)
 {
     Json::Value out;
@@ -261,7 +262,7 @@
     return static_cast<double>(json_to_text(out).size()) + request_header_bytes;
 }
 
-/// Feeds one daemon for `run_length` and collects what it costs.
+/// Runs one daemon on generated input for `run_length` and measures its cost.
 class control_run
 {
 public:
@@ -279,7 +280,7 @@
         load_configuration();
         for (duration at{}; at < run_length; at += milliseconds(100))
         {
-            feed(at);
+            send_input(at);
             run_tick(instant(at));
         }
         auto const length = to_seconds(run_length);
@@ -291,7 +292,7 @@
         result_.table_reads = static_cast<double>(table_.reads()) / length;
         result_.table_writes = static_cast<double>(table_.writes()) / length;
         result_.resident_bytes = resident_bytes() - resident_before;
-        result_.peak_bytes = peak_resident_bytes();
+        result_.peak_resident_bytes = peak_resident_bytes();
         result_.compact_heartbeat_bytes = compact_heartbeat_bytes(size_);
         return result_;
     }
@@ -304,26 +305,26 @@
         auto const parsed = configuration_from_json(text);
         auto const parsed_at = cpu_seconds();
         put_in_force(world_, *parsed);
-        result_.in_force_seconds = cpu_seconds() - parsed_at;
+        result_.activation_seconds = cpu_seconds() - parsed_at;
         result_.parse_seconds = parsed_at - start;
         result_.document_bytes = static_cast<double>(text.size());
     }
 
-    void feed(duration at)
+    void send_input(duration at)
     {
         if (at % heartbeat_interval == duration(0))
         {
-            feed_heartbeats();
+            send_heartbeats();
         }
         if (at % load_interval == duration(0))
         {
-            feed_reports(static_cast<std::uint64_t>(at / load_interval));
+            send_load_reports(static_cast<std::uint64_t>(at / load_interval));
         }
     }
 
-    /// As many peers call this daemon as it calls; each call and each answer
+    /// The daemon receives as many calls as it sends; each call and each answer
     /// is one heartbeat.
-    void feed_heartbeats()
+    void send_heartbeats()
     {
         auto const calls = std::min(heartbeat_fan_out, size_.daemons - 1);
         for (int i = 0; i < 2 * calls; ++i)
@@ -342,7 +343,7 @@
         }
     }
 
-    void feed_reports(std::uint64_t generation)
+    void send_load_reports(std::uint64_t generation)
     {
         for (int i = 0; i < size_.engines; ++i)
         {
@@ -377,12 +378,12 @@
     std::uint64_t sequence_ = 0;
 };
 
-/// Runs one size in a child process, so that memory freed by an earlier size
-/// does not hide what this one needs.
-measurement run_apart(deployment_size size)
+/// Measures one size in a child process, because memory freed by an earlier
+/// size would otherwise be reused and hide the memory use of this one.
+measurement run_in_child(deployment_size size)
 {
-    std::array<int, 2> ends{};
-    if (pipe(ends.data()) != 0)
+    std::array<int, 2> pipe_ends{};
+    if (pipe(pipe_ends.data()) != 0)
     {
         std::perror("pipe");
         std::exit(1);
@@ -392,29 +393,29 @@
     {
         auto const result = control_run(size).run();
         bool const sent =
-            write(ends[1], &result, sizeof result) == sizeof result;
+            write(pipe_ends[1], &result, sizeof result) == sizeof result;
         _exit(sent ? 0 : 1);
     }
     measurement result;
     bool const received =
-        read(ends[0], &result, sizeof result) == sizeof result;
+        read(pipe_ends[0], &result, sizeof result) == sizeof result;
     int status = 0;
     waitpid(child, &status, 0);
-    close(ends[0]);
-    close(ends[1]);
+    close(pipe_ends[0]);
+    close(pipe_ends[1]);
     if (!received || status != 0)
     {
-        std::fputs("a measurement failed\n", stderr);
+        std::fputs("capacity_bench: a measurement process failed\n", stderr);
         std::exit(1);
     }
     return result;
 }
 
-/// Line through the points, by least squares.
+/// Fits a line to the points by least squares.
 ///
-/// @return slope, value at 0 and the largest distance of a point from the
-///         line as a share of the largest value
-Json::Value fit(std::vector<double> const &x, std::vector<double> const &y)
+/// @return slope, value at 0, largest absolute value, and the largest distance
+///         of a point from the line relative to that value
+Json::Value fit_line(std::vector<double> const &x, std::vector<double> const &y)
 {
     auto const count = static_cast<double>(x.size());
     auto const mean_x = std::accumulate(x.begin(), x.end(), 0.0) / count;
@@ -427,32 +428,33 @@
         variance += (x[i] - mean_x) * (x[i] - mean_x);
     }
     auto const slope = variance > 0 ? covariance / variance : 0;
-    auto const base = mean_y - slope * mean_x;
-    double worst = 0;
+    auto const intercept = mean_y - slope * mean_x;
+    double max_error = 0;
     double largest = 0;
     for (std::size_t i = 0; i < x.size(); ++i)
     {
-        worst = std::max(worst, std::abs(base + slope * x[i] - y[i]));
+        max_error =
+            std::max(max_error, std::abs(intercept + slope * x[i] - y[i]));
         largest = std::max(largest, std::abs(y[i]));
     }
     Json::Value out;
     out["slope"] = slope;
-    out["at_zero"] = base;
-    out["worst_error"] = largest > 0 ? worst / largest : 0;
+    out["at_zero"] = intercept;
+    out["worst_error"] = largest > 0 ? max_error / largest : 0;
     out["largest"] = largest;
     return out;
 }
 
-/// Repeats a run and keeps the lowest processor times: other programs on the
-/// machine only ever add to them.
+/// Repeats a run and keeps the lowest CPU times, because other programs on the
+/// machine can only increase them.
 measurement run_repeated(deployment_size size)
 {
     constexpr int repeats = 3;
-    auto best = run_apart(size);
+    auto best = run_in_child(size);
     for (int i = 1; i < repeats; ++i)
     {
-        auto const next = run_apart(size);
-        for (auto const value : processor_times)
+        auto const next = run_in_child(size);
+        for (auto const value : cpu_time_members)
         {
             best.*value = std::min(best.*value, next.*value);
         }
@@ -460,6 +462,7 @@
     return best;
 }
 
+/// Sizes that differ in one member of `deployment_size`.
 struct series
 {
     char const *name;
@@ -467,6 +470,7 @@
     int deployment_size::*varied;
 };
 
+/// Measured value and its name in the output.
 struct quantity
 {
     char const *name;
@@ -482,11 +486,11 @@
     quantity{"table_reads_per_s", &measurement::table_reads},
     quantity{"table_writes_per_s", &measurement::table_writes},
     quantity{"resident_bytes", &measurement::resident_bytes},
-    quantity{"peak_resident_bytes", &measurement::peak_bytes},
+    quantity{"peak_resident_bytes", &measurement::peak_resident_bytes},
     quantity{"compact_heartbeat_bytes", &measurement::compact_heartbeat_bytes},
     quantity{"document_bytes", &measurement::document_bytes},
     quantity{"document_parse_s", &measurement::parse_seconds},
-    quantity{"document_in_force_s", &measurement::in_force_seconds},
+    quantity{"document_in_force_s", &measurement::activation_seconds},
 };
 
 Json::Value run_series(series const &plan)
@@ -505,7 +509,7 @@
         std::ranges::transform(results, std::back_inserter(y),
                                [&item](measurement const &result)
                                { return result.*item.value; });
-        out[item.name] = fit(x, y);
+        out[item.name] = fit_line(x, y);
     }
     std::ranges::for_each(x,
                           [&out](double value) { out["sizes"].append(value); });
--- a/tools/install-packages.sh
+++ b/tools/install-packages.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build and the tests need, if any is missing.
+# Installs the missing ones of the Debian packages that the build and the tests
+# need.
 set -eu
 packages=(
     g++ make cmake ninja-build pkg-config python3 clang-format clang-tidy
--- a/tools/latency_bench.cpp
+++ b/tools/latency_bench.cpp
@@ -1,5 +1,6 @@
-// Measures what the daemon adds to a call of the same engine stand-in: latency
-// at a fixed rate, CPU per request, throughput and memory.
+// Measures the overhead of the daemon compared with direct calls of the same
+// engine stand-in: added latency at a fixed rate, CPU time per request,
+// throughput and memory.
 #include "bench_caller.hpp"
 #include "bench_process.hpp"
 #include "caller_directory.hpp"
@@ -26,7 +27,7 @@
 using namespace agateledge;
 
 constexpr int latency_rate = 200;
-constexpr duration latency_time = seconds(8);
+constexpr duration latency_run_time = seconds(8);
 constexpr duration throughput_time = seconds(5);
 constexpr std::size_t throughput_callers = 32;
 constexpr std::size_t open_streams = 2000;
@@ -54,12 +55,12 @@
     _exit(0);
 }
 
-/// Starts an engine process: a fast one answers at once, a slow one generates
-/// one token a second for each of its streams.
+/// Starts an engine process. A fast engine answers without delay; a slow one
+/// generates one token per second for each of its streams.
 std::unique_ptr<bench_process> start_engine(std::string const &model, bool slow)
 {
     return std::make_unique<bench_process>(
-        [&](auto const &tell)
+        [&](auto const &send_line)
         {
             raise_descriptor_limit();
             standin_engine_options options;
@@ -74,7 +75,7 @@
             standin_engine_server server(options);
             if (server.listen("127.0.0.1:0").ok())
             {
-                tell(server.address());
+                send_line(server.address());
                 run_loop();
             }
         });
@@ -105,7 +106,7 @@
 std::unique_ptr<bench_process> start_daemon(configuration const &config)
 {
     return std::make_unique<bench_process>(
-        [&config](auto const &tell)
+        [&config](auto const &send_line)
         {
             raise_descriptor_limit();
             settings options;
@@ -123,7 +124,7 @@
                 std::cerr << status.message() << "\n";
                 return;
             }
-            tell(std::to_string(daemon.callers().gate().port()));
+            send_line(std::to_string(daemon.callers().gate().port()));
             run_loop();
         });
 }
@@ -149,14 +150,15 @@
     return http_text("POST", "/v1/generate", headers, json_to_text(body));
 }
 
-/// Sends through the daemon and directly in turn, at a fixed rate each.
+/// Sends requests alternately through the daemon and directly to the engine,
+/// each at `latency_rate` requests per second.
 void run_at_rate(bench_caller &daemon, bench_caller &direct)
 {
     auto const interval = duration(seconds(1)) / (2 * latency_rate);
     auto const start = clock_now();
     auto next = start;
     bool through = true;
-    while (clock_now() - start < latency_time)
+    while (clock_now() - start < latency_run_time)
     {
         if (clock_now() >= next)
         {
@@ -169,7 +171,7 @@
     }
 }
 
-void drain(bench_caller &caller)
+void await_answers(bench_caller &caller)
 {
     auto const start = clock_now();
     while (caller.open() > 0 && clock_now() - start < seconds(5))
@@ -178,7 +180,9 @@
     }
 }
 
-/// @return answers completed
+/// Keeps `throughput_callers` requests open for `throughput_time`.
+///
+/// @return number of completed answers
 std::size_t run_closed_loop(bench_caller &caller)
 {
     auto const start = clock_now();
@@ -194,7 +198,8 @@
     return completed;
 }
 
-/// Opens the streams and reads for a while.
+/// Opens `open_streams` streams and reads until each has received bytes, for at
+/// most 20 s.
 void hold_streams(bench_caller &caller)
 {
     constexpr std::size_t per_round = 20;
@@ -232,13 +237,13 @@
     for (auto const &[name, share] :
          {std::pair{"p50", 0.5}, std::pair{"p99", 0.99}})
     {
-        auto const through = percentile_ms(daemon.latencies, share);
-        auto const alone = percentile_ms(direct.latencies, share);
+        auto const through_ms = percentile_ms(daemon.latencies, share);
+        auto const direct_ms = percentile_ms(direct.latencies, share);
         auto const text = std::string(name);
-        out["daemon_" + text + "_ms"] = through;
-        out["direct_" + text + "_ms"] = alone;
-        out["added_" + text + "_ms"] = through - alone;
-        out["ratio_" + text] = through / alone;
+        out["daemon_" + text + "_ms"] = through_ms;
+        out["direct_" + text + "_ms"] = direct_ms;
+        out["added_" + text + "_ms"] = through_ms - direct_ms;
+        out["ratio_" + text] = through_ms / direct_ms;
     }
     out["rate"] = latency_rate;
     out["latency_requests"] = Json::UInt64(daemon.latencies.size());
@@ -249,8 +254,8 @@
     bench_caller through(daemon_port, caller_request("fast", 1));
     bench_caller direct(engine_port, engine_request());
     run_at_rate(through, direct);
-    drain(through);
-    drain(direct);
+    await_answers(through);
+    await_answers(direct);
     add_latency(out, through, direct);
     out["failed"] = Json::UInt64(through.failed() + direct.failed());
 }
@@ -261,7 +266,7 @@
     auto const cpu_before = daemon.cpu_seconds();
     auto const completed = static_cast<double>(run_closed_loop(caller));
     auto const cpu = daemon.cpu_seconds() - cpu_before;
-    drain(caller);
+    await_answers(caller);
     constexpr double us_per_second = 1e6;
     out["requests_per_second"] = completed / to_seconds(throughput_time);
     out["requests_per_core_second"] = completed / cpu;
--- a/tools/long_run.cpp
+++ b/tools/long_run.cpp
@@ -1,3 +1,5 @@
+// Runs one randomised run with a given seed. On a violation, shrinks the run
+// and prints its faults; exits with 1.
 #include "json_text.hpp"
 #include "randomised_run.hpp"
 
--- a/tools/policy_bench.cpp
+++ b/tools/policy_bench.cpp
@@ -1,3 +1,5 @@
+// Runs one policy on one scenario of the policy benchmark and prints its score
+// as JSON.
 #include "bench_oracle.hpp"
 #include "bench_policies.hpp"
 #include "json_text.hpp"
@@ -133,12 +135,14 @@
     add("seed", options::value<std::uint64_t>()->default_value(1), "seed");
     add("format", options::value<std::string>()->default_value("json"),
         "json or text");
-    add("engines", options::value<int>()->default_value(20), "fleet size");
+    add("engines", options::value<int>()->default_value(20),
+        "number of engines");
     add("prefill", options::value<int>(), "engines with the role prefill");
     add("mixed", options::value<int>(), "engines with the role mixed");
     add("load", options::value<double>()->default_value(1.0),
-        "factor on the load");
-    add("seconds", options::value<int>(), "length in place of the scenario's");
+        "factor by which the load is multiplied");
+    add("seconds", options::value<int>(),
+        "length in seconds; replaces that of the scenario");
     return all;
 }
 
--- a/tools/run-bench.sh
+++ b/tools/run-bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the benchmarks: added latency, capacity slopes, takeover and spread of a
-# revision, and the product's policy on both deployments.
+# Runs the benchmarks: added latency, capacity slopes, lease takeover and
+# revision propagation times, and the product's policy on both deployments.
 set -eu
 build=$1
 "$build/latency_bench"
--- a/tools/run-lint.py
+++ b/tools/run-lint.py
@@ -32,45 +32,45 @@
 
 
 def content_key(source):
-    """Hash of a source, of the headers it includes, and of the rules."""
-    seen, open_files = set(), [source]
-    while open_files:
-        path = open_files.pop()
+    """Hash of a source, the project headers it includes and .clang-tidy."""
+    seen, pending = set(), [source]
+    while pending:
+        path = pending.pop()
         if path in seen:
             continue
         seen.add(path)
         for name in INCLUDE.findall(read(path)):
             header = find_header(name.decode(), path)
             if header is not None:
-                open_files.append(os.path.normpath(header))
+                pending.append(os.path.normpath(header))
     digest = hashlib.sha256(read(".clang-tidy"))
     for path in sorted(seen):
         digest.update(path.encode() + b"\0" + read(path))
     return digest.hexdigest()[:24]
 
 
-def marks_folder():
-    """Folder of the marks of clean runs; worktrees of a clone share it."""
+def clean_runs_folder():
+    """Folder with a file per clean run, shared by the worktrees of a clone."""
     common = subprocess.run(["git", "rev-parse", "--git-common-dir"],
                             stdout=subprocess.PIPE, check=True)
     return os.path.join(common.stdout.decode().strip(), "lint-marks")
 
 
 def check(build, source):
-    mark = os.path.join(marks_folder(), content_key(source))
-    if os.path.exists(mark):
+    clean_run_file = os.path.join(clean_runs_folder(), content_key(source))
+    if os.path.exists(clean_run_file):
         return True
     run = subprocess.run(["clang-tidy", "--quiet", "-p", build, source],
                          stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
     sys.stdout.write(run.stdout.decode())
     if run.returncode == 0:
-        open(mark, "w").close()
+        open(clean_run_file, "w").close()
     return run.returncode == 0
 
 
 def main():
     build = sys.argv[1]
-    os.makedirs(marks_folder(), exist_ok=True)
+    os.makedirs(clean_runs_folder(), exist_ok=True)
     sources = sorted(path for folder in FOLDERS
                      for path in glob.glob(folder + "/*.cpp"))
     with concurrent.futures.ThreadPoolExecutor(JOBS) as pool:
--- a/tools/run-tests.sh
+++ b/tools/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs every test of a build folder. Tests named in KNOWN-RED.txt are run
-# apart: they are printed, and their verdict does not count.
+# Runs all tests of a build folder. Tests listed in KNOWN-RED.txt run separately:
+# their output is printed, and their result does not affect the exit code.
 set -u
 build=$1
 known=$(sed -n 's/^test: *//p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
--- a/tools/standins.cpp
+++ b/tools/standins.cpp
@@ -1,5 +1,5 @@
-// Runs the stand-ins for everything around the daemons as one process, at the
-// addresses that a settings file names, until SIGTERM.
+// Runs the stand-ins for the services that the daemons depend on in one
+// process, at the addresses in a settings file, until SIGTERM.
 #include "command_options.hpp"
 #include "load_settings.hpp"
 #include "settings.hpp"
@@ -48,7 +48,8 @@
 
 int main(int argc, char **argv)
 {
-    command_options options("standins: runs the stand-ins of a settings file");
+    command_options options(
+        "standins: runs the stand-ins for the services in a settings file");
     options.add()("settings", boost::program_options::value<std::string>(),
                   "TOML file");
     std::vector<std::string> const arguments(argv + 1, argv + argc);
