--- a/test/process/daemon_kill_test.py
+++ b/test/process/daemon_kill_test.py
@@ -1,6 +1,6 @@
-"""Guards against a doubled booking or a cut answer when a daemon is killed:
-callers repeat their bookings under the same key and resume their streams at
-another daemon."""
+"""Guards against duplicate bookings and truncated answers when a daemon is
+killed: callers repeat their bookings with the same idempotency key and resume
+their streams at another daemon."""
 
 import os
 import sys
@@ -45,8 +45,8 @@
         for thread in threads:
             thread.join(60)
         effects = deployment.effects()
-        doubled = {key: n for key, n in effects.items() if n > 1}
-        assert not doubled, doubled
+        duplicates = {key: n for key, n in effects.items() if n > 1}
+        assert not duplicates, duplicates
         for key, status in outcomes.items():
             if status == 201:
                 assert effects.get(key) == 1, (key, effects.get(key))
--- a/test/process/daemon_pause_test.py
+++ b/test/process/daemon_pause_test.py
@@ -1,5 +1,5 @@
-"""Guards against harm by a daemon that is paused past its lease and wakes:
-no booking is doubled, and both daemons serve afterwards."""
+"""Guards against duplicate bookings by a daemon that is paused until its lease
+has expired and then continues. Both daemons must serve requests afterwards."""
 
 import os
 import signal
@@ -40,8 +40,8 @@
             thread.join(60)
         time.sleep(1)
         effects = deployment.effects()
-        doubled = {key: n for key, n in effects.items() if n > 1}
-        assert not doubled, (doubled, outcomes)
+        duplicates = {key: n for key, n in effects.items() if n > 1}
+        assert not duplicates, (duplicates, outcomes)
         for key, statuses in outcomes.items():
             if 201 in statuses:
                 assert effects.get(key) == 1, (key, statuses)
--- a/test/process/operator_change_test.py
+++ b/test/process/operator_change_test.py
@@ -1,6 +1,6 @@
-"""Guards against a change that is accepted at one daemon and not in force at
-the others within 10 s, against an undo that cannot read the earlier revision,
-and against two racing changes that both succeed."""
+"""Guards against three failures: a change that one daemon accepts is not
+active on the others within 10 s; an undo cannot read the earlier revision; of
+two concurrent changes, more are reported as accepted than take effect."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 sys.path.insert(0, os.path.join(sys.argv[2], "test", "support"))
 from process_support import Deployment, OPERATOR_TOKEN  # noqa: E402
 
-BOUND_SECONDS = 10
+PROPAGATION_SECONDS = 10
 
 
 def ctl(deployment, index, statement):
@@ -30,12 +30,12 @@
 
 
 def wait_for_state(deployment, index, engine, state):
-    end = time.monotonic() + BOUND_SECONDS
+    end = time.monotonic() + PROPAGATION_SECONDS
     while time.monotonic() < end:
         answer = json.loads(ctl(deployment, index, "show engines").stdout)
-        name, shown = (answer["columns"].index(column)
-                       for column in ("name", "state"))
-        if any(row[name] == engine and row[shown] == state
+        name_column = answer["columns"].index("name")
+        state_column = answer["columns"].index("state")
+        if any(row[name_column] == engine and row[state_column] == state
                for row in answer["rows"]):
             return
         time.sleep(0.2)
@@ -43,12 +43,12 @@
 
 
 def wait_for_revision(deployment, index, expected):
-    end = time.monotonic() + BOUND_SECONDS
-    shown = 0
-    while shown != expected:
-        assert time.monotonic() < end, (index, shown, expected)
-        shown = revision(deployment, index)
-        assert shown <= expected, (index, shown, expected)
+    end = time.monotonic() + PROPAGATION_SECONDS
+    actual = 0
+    while actual != expected:
+        assert time.monotonic() < end, (index, actual, expected)
+        actual = revision(deployment, index)
+        assert actual <= expected, (index, actual, expected)
         time.sleep(0.1)
 
 
@@ -69,11 +69,12 @@
         before = revision(deployment, 0)
         answers = [None, None]
 
-        def race(index):
+        def drain_engine(index):
             answers[index] = ctl(deployment, index,
                                  "drain engine engine-%d" % (index + 1))
 
-        threads = [threading.Thread(target=race, args=(i,)) for i in range(2)]
+        threads = [threading.Thread(target=drain_engine, args=(i,))
+                   for i in range(2)]
         for thread in threads:
             thread.start()
         for thread in threads:
--- a/test/process/planned_stop_test.py
+++ b/test/process/planned_stop_test.py
@@ -1,6 +1,6 @@
-"""Guards against a planned stop that cuts off a request: SIGTERM under load
-must let every accepted stream end whole, there or by a resume elsewhere, and
-the daemon must exit with 0."""
+"""Guards against a planned stop that truncates an answer: after SIGTERM under
+load, every accepted stream must end with its complete answer, at this daemon
+or resumed at another one, and the daemon must exit with 0."""
 
 import os
 import signal
--- a/test/process/store_outage_test.py
+++ b/test/process/store_outage_test.py
@@ -1,6 +1,6 @@
-"""Guards against guessed bookings while the table service is down or loses its
-answers: a booking that is answered as not run has no effect, and model requests
-go on."""
+"""Guards against wrongly reported bookings while the table service is down or
+its answers are lost: a booking that is reported as not run must have no
+effect, a repeated booking at most one, and model requests must be served."""
 
 import json
 import os
@@ -30,8 +30,8 @@
             deployment.book(i % 2, "lost-%d" % i)
             deployment.book((i + 1) % 2, "lost-%d" % i)
         effects = deployment.effects()
-        doubled = {key: n for key, n in effects.items() if n > 1}
-        assert not doubled, doubled
+        duplicates = {key: n for key, n in effects.items() if n > 1}
+        assert not duplicates, duplicates
 
 
 main()
--- a/test/support/process_support.py
+++ b/test/support/process_support.py
@@ -1,4 +1,4 @@
-"""Starts real daemons and stand-ins on loopback ports for the process tests."""
+"""Starts daemons and stand-ins on loopback ports for the process tests."""
 
 import hashlib
 import http.client
@@ -13,7 +13,7 @@
 
 TOKEN = "process-test-token"
 OPERATOR_TOKEN = "process-test-operator"
-MASK = (1 << 64) - 1
+MASK_64 = (1 << 64) - 1
 
 
 def sha256(text):
@@ -21,11 +21,15 @@
 
 
 def standin_token(seed, position):
-    """The token that the engine stand-in generates at a position."""
-    state = (seed ^ ((position << 32) & MASK)) + 0x9E3779B97F4A7C15 & MASK
+    """Token that the engine stand-in generates at a position of an answer.
+
+    Must match standin_token() of the C++ sources.
+    """
+    state = ((seed ^ ((position << 32) & MASK_64))
+             + 0x9E3779B97F4A7C15 & MASK_64)
     bits = state
-    bits = ((bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    bits = ((bits ^ (bits >> 27)) * 0x94D049BB133111EB) & MASK
+    bits = ((bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9) & MASK_64
+    bits = ((bits ^ (bits >> 27)) * 0x94D049BB133111EB) & MASK_64
     return "w%d " % ((bits ^ (bits >> 31)) % 1000)
 
 
@@ -44,7 +48,7 @@
 
 
 class Deployment:
-    """Stand-ins and daemons of one test; ends them all on exit."""
+    """Stand-ins and daemons of one test; kills all processes on exit."""
 
     def __init__(self, build, daemons=2, engines=3, drain_ms=20000,
                  extra_settings=""):
@@ -156,7 +160,8 @@
                 return
             except OSError:
                 time.sleep(0.05)
-        raise AssertionError("nothing listens on port %d" % port)
+        raise AssertionError("nothing listens on port %d after %d s"
+                             % (port, seconds))
 
     def wait_until_serving(self, index, seconds=10):
         """Waits until a daemon has a configuration and answers a request."""
@@ -166,7 +171,8 @@
             if text == standin_answer(1, 1):
                 return
             time.sleep(0.1)
-        raise AssertionError("daemon %d does not serve" % index)
+        raise AssertionError("daemon %d did not answer a request within %d s"
+                             % (index, seconds))
 
     def connect(self, index, timeout=30):
         return http.client.HTTPConnection(
@@ -186,7 +192,7 @@
         return connection.getresponse()
 
     def complete(self, index, seed, tokens):
-        """Answer of one request, or None when it is not answered whole."""
+        """Returns the answer of one request, or None if it is incomplete."""
         stream = Stream()
         try:
             stream.read(self.open_stream(index, seed, tokens))
@@ -194,11 +200,13 @@
             return None
         return stream.text if stream.done else None
 
-    def complete_with_resume(self, first, other, seed, tokens, tries=40):
-        """Answer of a request that is resumed until it is whole."""
+    def complete_with_resume(self, first, other, seed, tokens,
+                             max_attempts=40):
+        """Returns the answer of a request that is resumed at the other daemon
+        until it is complete, or None after `max_attempts` attempts."""
         stream = Stream()
         index = first
-        for _ in range(tries):
+        for _ in range(max_attempts):
             try:
                 response = self.open_stream(index, seed, tokens,
                                             stream.last_event_id)
@@ -212,7 +220,7 @@
         return None
 
     def book(self, index, key, timeout=10):
-        """Status and body of a booking; status 0 when no answer came."""
+        """Returns status and body of a booking; status 0 without an answer."""
         headers = {"Authorization": "Bearer " + TOKEN,
                    "Idempotency-Key": key}
         try:
@@ -225,7 +233,7 @@
             return 0, ""
 
     def effects(self):
-        """Effects of the plain service by idempotency key."""
+        """Returns the number of effects by idempotency key."""
         connection = http.client.HTTPConnection(
             "127.0.0.1", self.desk_ports[0], timeout=5)
         connection.request("GET", "/effects")
@@ -240,7 +248,7 @@
 
 
 class Stream:
-    """Text and last event id of a streamed answer, over all its parts."""
+    """Text and last event id of a streamed answer, over all its responses."""
 
     def __init__(self):
         self.text = ""
@@ -257,11 +265,11 @@
             if line.startswith("id: "):
                 pending_id = line[4:]
             if line.startswith("data: "):
-                self.take_data(line[6:])
+                self.append_data(line[6:])
             if line == "" and pending_id is not None:
                 self.last_event_id = pending_id
 
-    def take_data(self, data):
+    def append_data(self, data):
         if data == "[DONE]":
             self.done = True
             return
