--- a/src/standin_engine.cpp
+++ b/src/standin_engine.cpp
@@ -153,7 +153,7 @@
         options_.model_version = order.version;
     }
     unavailable_ = true;
-    unavailable_until_ = now + options_.order_time;
+    unavailable_until_ = now + options_.order_duration;
     return order_outcome::accepted;
 }
 
@@ -207,7 +207,7 @@
         undo_order();
     }
     unavailable_ = true;
-    unavailable_until_ = now + options_.order_time;
+    unavailable_until_ = now + options_.order_duration;
 }
 
 load_report standin_engine::load() const
--- a/src/standin_engine.hpp
+++ b/src/standin_engine.hpp
@@ -46,7 +46,7 @@
     std::int64_t prefix_cache_tokens = 60000;
     /// Time for which an order (role change or model load) or a restart makes
     /// the engine unavailable.
-    duration order_time = seconds(4);
+    duration order_duration = seconds(4);
     /// Rate at which the KV cache is imported from another engine.
     double import_tokens_per_second = 150000;
     /// Speed factor; 0.1 makes each step of a degraded engine ten times as
--- a/src/standin_fleet.hpp
+++ b/src/standin_fleet.hpp
@@ -28,7 +28,8 @@
     /// @param seed seed of the stand-ins' random choices
     explicit standin_fleet(std::uint64_t seed);
 
-    /// Starts a stand-in for each address in the settings.
+    /// Starts a stand-in for each address in the settings. The object store and
+    /// the weight store are served at the address of the membership list.
     ///
     /// @param config settings; each address is replaced by the one that the
     ///        stand-in listens on
--- a/src/standin_service.cpp
+++ b/src/standin_service.cpp
@@ -5,9 +5,9 @@
 namespace agateledge
 {
 
-standin_answer_body standin_service::call(std::string const &method,
-                                          std::string const &key,
-                                          std::string const &body)
+standin_response standin_service::call(std::string const &method,
+                                       std::string const &key,
+                                       std::string const &body)
 {
     if (method != "POST")
     {
--- a/src/standin_service.hpp
+++ b/src/standin_service.hpp
@@ -9,7 +9,7 @@
 {
 
 /// HTTP response of the plain service stand-in.
-struct standin_answer_body
+struct standin_response
 {
     int http_status = 200;
     std::string body;
@@ -27,8 +27,8 @@
     ///        of effects
     /// @param key idempotency key of the call
     /// @param body body of the call
-    standin_answer_body call(std::string const &method, std::string const &key,
-                             std::string const &body);
+    standin_response call(std::string const &method, std::string const &key,
+                          std::string const &body);
 
     /// @return number of effects by idempotency key
     std::map<std::string, int> const &effects() const { return effects_; }
--- a/src/standin_service_server.cpp
+++ b/src/standin_service_server.cpp
@@ -15,7 +15,7 @@
 struct delayed_answer
 {
     std::shared_ptr<http_exchange> request;
-    standin_answer_body answer;
+    standin_response answer;
 };
 
 gboolean send_answer(gpointer data)
--- a/tools/latency_bench.cpp
+++ b/tools/latency_bench.cpp
@@ -200,7 +200,7 @@
 
 /// Opens `open_streams` streams and reads until each has received bytes, for at
 /// most 20 s.
-void hold_streams(bench_caller &caller)
+void open_all_streams(bench_caller &caller)
 {
     constexpr std::size_t per_round = 20;
     while (caller.open() < open_streams && caller.failed() == 0)
@@ -283,7 +283,7 @@
         static_cast<double>(daemon.resident_bytes()) / bytes_per_mb;
     bench_caller caller(port, caller_request("slow", long_answer_tokens));
     auto const start = clock_now();
-    hold_streams(caller);
+    open_all_streams(caller);
     out["open_streams_seconds"] = to_seconds(clock_now() - start);
     out["open_streams"] = Json::UInt64(caller.begun());
     out["resident_mb"] =
