--- a/harness/bench_policies.cpp
+++ b/harness/bench_policies.cpp
@@ -60,7 +60,7 @@
 
 double in_flight(engine_state const &engine)
 {
-    return engine.own_requests;
+    return engine.local_requests;
 }
 
 double reported_load(engine_state const &engine)
@@ -193,7 +193,7 @@
         auto &hooks = daemon.state->hooks;
         hooks.select = baseline_selector(policy);
         hooks.plan_roles = [](world &) {};
-        hooks.plain_queue = true;
+        hooks.fifo_queue = true;
     }
 }
 
@@ -209,7 +209,7 @@
     }
     for (auto &daemon : run.deployment().daemons())
     {
-        daemon.state->hooks.plans_for =
+        daemon.state->hooks.may_plan_for =
             [holders](world const &w, std::string const &data_centre)
         {
             auto const found = holders.find(data_centre);
--- a/harness/edge_deployment.hpp
+++ b/harness/edge_deployment.hpp
@@ -25,7 +25,7 @@
         std::function<void(settings &)> const &adjust = {});
 
     /// @return port of the callers' listener
-    int port() { return daemon->callers().gate().port(); }
+    int port() { return daemon->callers().acceptor().port(); }
 
     /// Sends one request with `caller_headers` on a new connection.
     ///
--- a/harness/fault_schedule.cpp
+++ b/harness/fault_schedule.cpp
@@ -235,8 +235,8 @@
     {
         // A daemon that can reach neither the table service nor a peer learns
         // of a drain from the platform's list of leaving hosts, which lags.
-        after(random_duration(random_, max_configuration_lag),
-              [&daemon, config] { put_in_force(*daemon.state, config); });
+        after(random_duration(random_, max_configuration_lag), [&daemon, config]
+              { activate_configuration(*daemon.state, config); });
     }
 }
 
--- a/harness/policy_world.cpp
+++ b/harness/policy_world.cpp
@@ -28,7 +28,7 @@
         config.engines.push_back(std::move(engine));
     }
     world w({"daemon-0", incarnation_number(1), "here", "daemon-0"}, 1);
-    put_in_force(w, config);
+    activate_configuration(w, config);
     w.now = instant(seconds(100));
     w.candidates.rebuild(w.engines, w.now, w.config.revision);
     return w;
--- a/harness/relay_fixture.cpp
+++ b/harness/proxy_fixture.cpp
@@ -1,4 +1,4 @@
-#include "relay_fixture.hpp"
+#include "proxy_fixture.hpp"
 
 #include "tick.hpp"
 
@@ -49,11 +49,11 @@
 
 void move_into(outbox &all, outbox &&part)
 {
-    std::ranges::move(part.relay_calls, std::back_inserter(all.relay_calls));
-    std::ranges::move(part.relay_answers,
-                      std::back_inserter(all.relay_answers));
-    std::ranges::move(part.relay_cancels,
-                      std::back_inserter(all.relay_cancels));
+    std::ranges::move(part.proxy_calls, std::back_inserter(all.proxy_calls));
+    std::ranges::move(part.proxy_answers,
+                      std::back_inserter(all.proxy_answers));
+    std::ranges::move(part.proxy_cancels,
+                      std::back_inserter(all.proxy_cancels));
     std::ranges::move(part.kv_releases, std::back_inserter(all.kv_releases));
     std::ranges::move(part.cache_reads, std::back_inserter(all.cache_reads));
     std::ranges::move(part.row_reads, std::back_inserter(all.row_reads));
@@ -62,26 +62,26 @@
     std::ranges::move(part.peer_load_reports,
                       std::back_inserter(all.peer_load_reports));
     std::ranges::move(part.log_entries, std::back_inserter(all.log_entries));
-    all.stop_ready |= part.stop_ready;
+    all.shutdown_complete |= part.shutdown_complete;
 }
 
 } // namespace
 
-relay_fixture::relay_fixture()
+proxy_fixture::proxy_fixture()
     : state({"edge-1", incarnation_number(1), "zone-a", "127.0.0.1:1"}, 1)
 {
-    state.relay.enabled = true;
-    state.relay.put_routing(make_configuration());
+    state.proxy.enabled = true;
+    state.proxy.set_routing(make_configuration());
     state.now = instant(seconds(100));
 }
 
-outbox relay_fixture::tick_now()
+outbox proxy_fixture::tick_now()
 {
     tick(state, state.now);
     return std::exchange(state.out, {});
 }
 
-outbox relay_fixture::advance(duration time)
+outbox proxy_fixture::advance(duration time)
 {
     outbox all;
     auto const end = state.now + time;
@@ -94,7 +94,7 @@
     return all;
 }
 
-instance_row relay_fixture::row_of(instance_definition const &instance)
+instance_row proxy_fixture::row_of(instance_definition const &instance)
 {
     instance_row row;
     row.id = instance.id;
@@ -103,11 +103,11 @@
     return row;
 }
 
-void relay_fixture::list(instance_definition const &instance)
+void proxy_fixture::list(instance_definition const &instance)
 {
     row_read_reply reply;
-    reply.table = followed_table::instances;
-    reply.whole = false;
+    reply.table = polled_table::instances;
+    reply.full = false;
     reply.outcome = row_outcome::answered;
     reply.instances = {row_of(instance)};
     reply.version = store_version_;
@@ -115,7 +115,7 @@
     tick_now();
 }
 
-void relay_fixture::list_engines(int count, engine_role role)
+void proxy_fixture::list_engines(int count, engine_role role)
 {
     for (int i = 1; i <= count; ++i)
     {
@@ -129,7 +129,7 @@
     }
 }
 
-void relay_fixture::list_endpoints(int count)
+void proxy_fixture::list_endpoints(int count)
 {
     for (int i = 1; i <= count; ++i)
     {
@@ -142,17 +142,17 @@
     }
 }
 
-void relay_fixture::instances_changed(std::vector<std::string> const &renewed,
+void proxy_fixture::instances_changed(std::vector<std::string> const &renewed,
                                       std::vector<std::string> const &removed)
 {
     row_read_reply reply;
-    reply.table = followed_table::instances;
-    reply.whole = false;
+    reply.table = polled_table::instances;
+    reply.full = false;
     reply.outcome = row_outcome::answered;
     for (auto const &id : renewed)
     {
         reply.instances.push_back(
-            row_of(state.relay.instances.find(id)->definition));
+            row_of(state.proxy.instances.find(id)->definition));
     }
     for (auto const &id : removed)
     {
@@ -163,26 +163,26 @@
     tick_now();
 }
 
-void relay_fixture::store_fails()
+void proxy_fixture::store_fails()
 {
     row_read_reply reply;
-    reply.table = followed_table::instances;
-    reply.whole = false;
+    reply.table = polled_table::instances;
+    reply.full = false;
     state.in.row_read_replies.push_back(std::move(reply));
     tick_now();
 }
 
-request_number relay_fixture::send(std::string const &path,
+request_number proxy_fixture::send(std::string const &path,
                                    std::uint64_t shared_part, int shared_tokens,
                                    int unshared_tokens)
 {
-    relay_request content;
+    proxy_request content;
     content.caller_attempt = "attempt-" + std::to_string(++last_request_);
     content.host = "host.example";
     content.method = "POST";
     content.target = path;
     content.body = std::make_shared<std::string const>("{}");
-    content.patience = seconds(5);
+    content.caller_timeout = seconds(5);
     if (shared_part != 0)
     {
         prompt_shape prompt;
@@ -193,43 +193,43 @@
                         {last_request_ << 32U, unshared_tokens}};
         content.prompt = prompt;
     }
-    relay_arrival arrival;
+    proxy_arrival arrival;
     arrival.request = request_number(last_request_);
-    arrival.content = std::make_shared<relay_request const>(std::move(content));
-    arrival.arrived_at = state.now;
-    state.in.relay_arrivals.push_back(arrival);
+    arrival.content = std::make_shared<proxy_request const>(std::move(content));
+    arrival.received_at = state.now;
+    state.in.proxy_arrivals.push_back(arrival);
     return arrival.request;
 }
 
-void relay_fixture::reply_head(attempt_number attempt, int status, bool not_run)
+void proxy_fixture::reply_head(attempt_number attempt, int status, bool not_run)
 {
-    relay_reply_head head;
+    proxy_reply_head head;
     head.status = status;
     head.not_run = not_run;
     head.is_signed = !not_run;
-    relay_event event;
+    proxy_event event;
     event.attempt = attempt;
-    event.kind = relay_event_kind::head;
-    event.head = std::make_shared<relay_reply_head const>(head);
-    state.in.relay_events.push_back(event);
+    event.kind = proxy_event_kind::head;
+    event.head = std::make_shared<proxy_reply_head const>(head);
+    state.in.proxy_events.push_back(event);
 }
 
-void relay_fixture::reply_bytes(attempt_number attempt,
+void proxy_fixture::reply_bytes(attempt_number attempt,
                                 std::string const &bytes)
 {
-    relay_event event;
+    proxy_event event;
     event.attempt = attempt;
-    event.kind = relay_event_kind::bytes;
+    event.kind = proxy_event_kind::bytes;
     event.bytes = bytes;
-    state.in.relay_events.push_back(event);
+    state.in.proxy_events.push_back(event);
 }
 
-void relay_fixture::reply_ends(attempt_number attempt, relay_event_kind kind)
+void proxy_fixture::reply_ends(attempt_number attempt, proxy_event_kind kind)
 {
-    relay_event event;
+    proxy_event event;
     event.attempt = attempt;
     event.kind = kind;
-    state.in.relay_events.push_back(event);
+    state.in.proxy_events.push_back(event);
 }
 
 } // namespace agateledge
--- a/harness/relay_fixture.hpp
+++ b/harness/proxy_fixture.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_RELAY_FIXTURE_HPP
-#define AGATELEDGE_RELAY_FIXTURE_HPP
+#ifndef AGATELEDGE_PROXY_FIXTURE_HPP
+#define AGATELEDGE_PROXY_FIXTURE_HPP
 
 #include "world.hpp"
 
@@ -11,13 +11,13 @@
 
 /// One daemon behind the platform in virtual time, without a network. Tests
 /// supply the input and inspect the output of each tick.
-class relay_fixture
+class proxy_fixture
 {
 public:
     /// Sets up the routes `/chat/` (resumable stream) and `/once/` (stream that
     /// must not be repeated) of the service `models`, and `/book/`
     /// (non-idempotent) and `/look/` (idempotent) of the service `desk`.
-    relay_fixture();
+    proxy_fixture();
 
     /// Advances the virtual time and runs ticks of at most 10 ms.
     ///
@@ -62,7 +62,7 @@
     /// Supplies the head of a reply; it is signed unless `not_run` is set.
     void reply_head(attempt_number attempt, int status, bool not_run = false);
     void reply_bytes(attempt_number attempt, std::string const &bytes);
-    void reply_ends(attempt_number attempt, relay_event_kind kind);
+    void reply_ends(attempt_number attempt, proxy_event_kind kind);
 
     world state;
 
--- a/harness/virtual_callers.cpp
+++ b/harness/virtual_callers.cpp
@@ -289,7 +289,8 @@
                     "reply to request ", reply.request.value(),
                     " from a daemon that it was not sent to");
     auto &item = found->second;
-    if (reply.kind == caller_reply_kind::refused && states_not_run(reply.code))
+    if (reply.kind == caller_reply_kind::refused &&
+        guarantees_not_run(reply.code))
     {
         item.reported_not_run = true;
         internal_assert(!item.had_effect, "request ", reply.request.value(),
--- a/harness/virtual_deployment.cpp
+++ b/harness/virtual_deployment.cpp
@@ -1,10 +1,10 @@
 #include "virtual_deployment.hpp"
 
+#include "append_configuration_writes.hpp"
 #include "apply_configuration.hpp"
 #include "configuration_head.hpp"
 #include "configuration_json.hpp"
 #include "propose_configuration.hpp"
-#include "store_configuration.hpp"
 #include "tick.hpp"
 #include "track_peers.hpp"
 
@@ -89,7 +89,7 @@
     daemon.state->now = now_;
     daemon.alive = true;
     daemon.state->initial_config = config_;
-    put_in_force(*daemon.state, config_);
+    activate_configuration(*daemon.state, config_);
     confirm_revision(*daemon.state, now_);
     if (on_start)
     {
@@ -133,8 +133,8 @@
     section_documents documents;
     auto const index = split_configuration(config_, documents);
     table_call call;
-    agateledge::store_configuration(call, configuration_state(), index,
-                                    documents, "harness");
+    agateledge::append_configuration_writes(call, configuration_state(), index,
+                                            documents, "harness");
     table_.apply(call);
 }
 
@@ -151,7 +151,7 @@
 
 void virtual_deployment::depart(std::size_t index, request_number request)
 {
-    daemons_[index].state->in.departures.push_back({request});
+    daemons_[index].state->in.caller_disconnects.push_back({request});
     plan_tick(index, now_);
 }
 
@@ -315,7 +315,7 @@
     std::ranges::for_each(out.configuration_fetches,
                           [&](configuration_fetch const &fetch)
                           { send_configuration_fetch(index, fetch); });
-    if (out.stop_ready)
+    if (out.shutdown_complete)
     {
         daemons_[index].alive = false;
         if (on_stopped)
@@ -776,7 +776,7 @@
         return;
     }
     auto const reply =
-        own_heartbeat(*daemons_[peer].state, now_, message.sequence);
+        make_heartbeat(*daemons_[peer].state, now_, message.sequence);
     deliver(origin, delay_to(peer, data_centre_of(origin.daemon)),
             [reply](inbox &in) { in.heartbeats.push_back(reply); });
 }
@@ -802,7 +802,7 @@
     configuration_document document;
     document.from = state.identity.name;
     document.document = configuration_to_json(state.config);
-    document.revision_age_us = own_heartbeat(state, now_).revision_age_us;
+    document.revision_age_us = make_heartbeat(state, now_).revision_age_us;
     deliver(origin, delay_to(daemon, data_centre_of(*peer)) * 2,
             [document](inbox &in)
             { in.configuration_documents.push_back(document); });
--- a/src/admit_relays.cpp
+++ b/src/admit_proxied_requests.cpp
@@ -1,7 +1,7 @@
-#include "admit_relays.hpp"
+#include "admit_proxied_requests.hpp"
 
-#include "log_relay.hpp"
-#include "relay_lifecycle.hpp"
+#include "log_proxied_request.hpp"
+#include "proxy_lifecycle.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -45,77 +45,78 @@
 /// @return the route, which shares ownership of the configuration; null when
 ///         none matches
 std::shared_ptr<route_definition const> route_of(world const &w,
-                                                 relay_request const &content)
+                                                 proxy_request const &content)
 {
     auto const *route =
-        find_route(*w.relay.routing, content.host, content.path());
-    return {w.relay.routing, route};
+        find_route(*w.proxy.routing, content.host, content.path());
+    return {w.proxy.routing, route};
 }
 
 bool admission_closed(world const &w)
 {
-    auto const &since = w.relay.stopping_since;
+    auto const &since = w.proxy.stopping_since;
     return since && w.now - *since > shutdown_admission_time;
 }
 
-void admit(world &w, relay_arrival const &arrival)
+void admit(world &w, proxy_arrival const &arrival)
 {
-    relay_state_entry entry;
+    proxied_request entry;
     entry.number = arrival.request;
     entry.content = arrival.content;
-    entry.arrived_at = arrival.arrived_at;
+    entry.arrived_at = arrival.received_at;
     entry.last_event = arrival.content->resume_after;
     entry.expires_at = instant::max();
     entry.route = route_of(w, *arrival.content);
-    auto &request = w.relay.requests.add(std::move(entry));
+    auto &request = w.proxy.requests.add(std::move(entry));
     if (!request.route)
     {
-        bool const known = w.relay.routing->version != 0;
-        refuse_relay(w, arrival.request,
-                     known ? result_code::unknown_route
-                           : result_code::configuration_stale,
-                     known
-                         ? "no route matches the host and path"
-                         : "the routing configuration has not been loaded yet",
-                     known ? std::nullopt : std::optional(unready_retry_after));
+        bool const known = w.proxy.routing->version != 0;
+        refuse_proxied_request(
+            w, arrival.request,
+            known ? result_code::unknown_route
+                  : result_code::configuration_stale,
+            known ? "no route matches the host and path"
+                  : "the routing configuration has not been loaded yet",
+            known ? std::nullopt : std::optional(unready_retry_after));
         return;
     }
     if (admission_closed(w))
     {
-        refuse_relay(w, arrival.request, result_code::daemon_draining,
-                     "the daemon is shutting down",
-                     spread_retry_after(w, stopping_retry_after));
+        refuse_proxied_request(w, arrival.request, result_code::daemon_draining,
+                               "the daemon is shutting down",
+                               spread_retry_after(w, stopping_retry_after));
         return;
     }
     auto const &route = *request.route;
     request.expires_at =
-        arrival.arrived_at +
-        std::min(arrival.content->patience.value_or(route.timeout),
+        arrival.received_at +
+        std::min(arrival.content->caller_timeout.value_or(route.timeout),
                  route.timeout);
     request.begin_by = request.expires_at;
     if (route.kind == route_kind::streaming)
     {
-        request.begin_by = std::min(
-            request.begin_by, arrival.arrived_at + route.stream_patience());
+        request.begin_by =
+            std::min(request.begin_by,
+                     arrival.received_at + route.stream_idle_timeout());
     }
     request.service = choose_service(w, route);
     if (arrival.content->prompt)
     {
         request.chain = shared_chain_of(*arrival.content->prompt);
     }
-    w.relay.budgets[request.service].record_request(w.now);
-    w.relay.expiries.add(request.expires_at, arrival.request);
-    w.relay.waiting.push_back(arrival.request);
+    w.proxy.budgets[request.service].record_request(w.now);
+    w.proxy.expiries.add(request.expires_at, arrival.request);
+    w.proxy.waiting.push_back(arrival.request);
     buffer_request_log(
         w, request, "request_admitted",
         {{"service", request.service},
-         {"configuration", std::to_string(w.relay.routing->version)},
+         {"configuration", std::to_string(w.proxy.routing->version)},
          {"time_ms", milliseconds_text(request.expires_at - w.now)}});
 }
 
-void leave(world &w, relay_departure const &departure)
+void leave(world &w, proxy_disconnect const &departure)
 {
-    auto *request = w.relay.requests.find(departure.request);
+    auto *request = w.proxy.requests.find(departure.request);
     if (request == nullptr)
     {
         return;
@@ -129,20 +130,20 @@
                     {{"runs", std::to_string(request->runs)},
                      {"answering", request->answering ? "true" : "false"}},
                     true);
-    ++w.relay.metrics.requests["caller_left"];
-    std::erase(w.relay.waiting, departure.request);
-    w.relay.requests.erase(departure.request);
+    ++w.proxy.metrics.requests["caller_left"];
+    std::erase(w.proxy.waiting, departure.request);
+    w.proxy.requests.erase(departure.request);
 }
 
 } // namespace
 
-void admit_relays(world &w)
+void admit_proxied_requests(world &w)
 {
-    std::ranges::for_each(w.in.relay_arrivals,
-                          [&w](relay_arrival const &arrival)
+    std::ranges::for_each(w.in.proxy_arrivals,
+                          [&w](proxy_arrival const &arrival)
                           { admit(w, arrival); });
-    std::ranges::for_each(w.in.relay_departures,
-                          [&w](relay_departure const &departure)
+    std::ranges::for_each(w.in.proxy_disconnects,
+                          [&w](proxy_disconnect const &departure)
                           { leave(w, departure); });
 }
 
--- a/src/admit_relays.hpp
+++ b/src/admit_proxied_requests.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_ADMIT_RELAYS_HPP
-#define AGATELEDGE_ADMIT_RELAYS_HPP
+#ifndef AGATELEDGE_ADMIT_PROXIED_REQUESTS_HPP
+#define AGATELEDGE_ADMIT_PROXIED_REQUESTS_HPP
 
 namespace agateledge
 {
@@ -11,7 +11,7 @@
 /// Also ends the requests whose callers have disconnected.
 ///
 /// @param w state of the daemon
-void admit_relays(world &w);
+void admit_proxied_requests(world &w);
 
 } // namespace agateledge
 
--- a/src/advance_relays.cpp
+++ b/src/advance_proxied_requests.cpp
@@ -1,10 +1,10 @@
-#include "advance_relays.hpp"
+#include "advance_proxied_requests.hpp"
 
-#include "event_text.hpp"
-#include "log_relay.hpp"
+#include "extract_new_events.hpp"
+#include "log_proxied_request.hpp"
+#include "predict_event_gap.hpp"
 #include "predict_first_event.hpp"
-#include "predict_pause.hpp"
-#include "relay_lifecycle.hpp"
+#include "proxy_lifecycle.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -46,7 +46,7 @@
            status == http_too_many_requests || status == http_unavailable;
 }
 
-bool is_stream(relay_state_entry const &request)
+bool is_stream(proxied_request const &request)
 {
     return request.route->kind == route_kind::streaming && request.head &&
            is_success(request.head->status);
@@ -54,7 +54,7 @@
 
 void count_call(world &w, std::string const &result)
 {
-    ++w.relay.metrics.calls[result];
+    ++w.proxy.metrics.calls[result];
 }
 
 /// Queues the request for another call, or fails it when none is allowed.
@@ -65,7 +65,7 @@
 void try_again(world &w, request_number number, bool arrived, duration pause,
                std::string const &reason)
 {
-    auto *request = w.relay.requests.find(number);
+    auto *request = w.proxy.requests.find(number);
     if (request == nullptr)
     {
         return;
@@ -73,26 +73,26 @@
     request->head.reset();
     request->body.clear();
     request->partial_event.clear();
-    bool const may_repeat = request->runs == 0 || request->route->repeatable();
+    bool const may_repeat = request->runs == 0 || request->route->can_retry();
     bool const may_resume = !request->answering || request->route->resumable;
     if (may_repeat && may_resume &&
-        retry_relay(w, *request, arrived, pause, reason))
+        retry_proxied_request(w, *request, arrived, pause, reason))
     {
-        w.relay.metrics.resumed_streams += request->answering ? 1 : 0;
+        w.proxy.metrics.resumed_streams += request->answering ? 1 : 0;
         return;
     }
-    fail_relay(w, number, reason);
+    fail_proxied_request(w, number, reason);
 }
 
-void call_failed(world &w, relay_attempt const &attempt, bool sent,
+void call_failed(world &w, proxy_attempt const &attempt, bool sent,
                  std::string const &reason)
 {
     auto const number = attempt.request;
     auto const instance = attempt.instance;
-    bool const prefill = attempt.stage == relay_stage::prefill;
+    bool const prefill = attempt.stage == proxy_stage::prefill;
     count_call(w, sent ? "failed_after_send" : "failed_before_send");
     cancel_attempt(w, attempt.attempt, call_result::failed);
-    auto *request = w.relay.requests.find(number);
+    auto *request = w.proxy.requests.find(number);
     if (request == nullptr)
     {
         return;
@@ -110,24 +110,24 @@
     request->prefill_failed |= prefill && sent;
     // The handle may have been used, so it is not offered again; an unused KV
     // cache expires on the engine that holds it.
-    request->kept.reset();
+    request->retained_prefill.reset();
     try_again(w, number, sent, duration(0), reason);
 }
 
-void call_refused(world &w, relay_attempt const &attempt,
-                  relay_reply_head const &head)
+void call_refused(world &w, proxy_attempt const &attempt,
+                  proxy_reply_head const &head)
 {
     auto const number = attempt.request;
     auto const id = attempt.instance;
-    bool const prefill = attempt.stage == relay_stage::prefill;
+    bool const prefill = attempt.stage == proxy_stage::prefill;
     count_call(w, "refused");
     cancel_attempt(w, attempt.attempt, call_result::neutral);
-    auto *instance = w.relay.instances.find(id);
+    auto *instance = w.proxy.instances.find(id);
     if (head.wrong_instance && instance != nullptr)
     {
         instance->address_reused = true;
     }
-    auto *request = w.relay.requests.find(number);
+    auto *request = w.proxy.requests.find(number);
     if (request == nullptr)
     {
         return;
@@ -138,17 +138,17 @@
          {"status", std::to_string(head.status)},
          {"wrong_instance", head.wrong_instance ? "true" : "false"}});
     request->runs -= prefill ? 0 : 1;
-    request->prefill_failed |= prefill || request->kept.has_value();
+    request->prefill_failed |= prefill || request->retained_prefill.has_value();
     release_kept_prefill(w, *request);
     try_again(w, number, true, refusal_backoff,
               "the instance refused the call with status " +
                   std::to_string(head.status));
 }
 
-void take_head(world &w, relay_attempt const &attempt,
-               std::shared_ptr<relay_reply_head const> const &head)
+void take_head(world &w, proxy_attempt const &attempt,
+               std::shared_ptr<proxy_reply_head const> const &head)
 {
-    if (head->foreign)
+    if (head->mismatched_attempt)
     {
         call_failed(w, attempt, true, "the reply belongs to another request");
         return;
@@ -159,60 +159,60 @@
         return;
     }
     if (is_success(head->status) && !head->is_signed &&
-        attempt.stage == relay_stage::run)
+        attempt.stage == proxy_stage::run)
     {
         call_failed(w, attempt, true,
                     "the reply is not signed by the instance");
         return;
     }
-    if (auto *request = w.relay.requests.find(attempt.request))
+    if (auto *request = w.proxy.requests.find(attempt.request))
     {
         request->head = head;
     }
 }
 
 /// Updates the predictions for the instance from the first bytes of a reply.
-void record_first_bytes(world &w, relay_attempt &attempt)
+void record_first_bytes(world &w, proxy_attempt &attempt)
 {
     if (std::exchange(attempt.answered, true))
     {
         return;
     }
-    auto *instance = w.relay.instances.find(attempt.instance);
+    auto *instance = w.proxy.instances.find(attempt.instance);
     if (instance == nullptr || !instance->open_calls.contains(attempt.attempt))
     {
         return;
     }
     instance->unread_tokens -= attempt.unread_tokens;
-    if (auto const *request = w.relay.requests.find(attempt.request))
+    if (auto const *request = w.proxy.requests.find(attempt.request))
     {
-        instance->cache.confirm(request->chain);
+        instance->cache.mark_prefilled(request->chain);
     }
     update_first_event_estimate(w, *instance, attempt.sent_at,
                                 attempt.predicted, attempt.unread_tokens,
                                 attempt.calls_before == 0);
-    w.relay.metrics.late_by.add(
+    w.proxy.metrics.late_by.add(
         std::max(w.now - attempt.sent_at - attempt.predicted, duration(0)));
 }
 
-void begin_answer(world &w, relay_state_entry &request)
+void begin_answer(world &w, proxied_request &request)
 {
     if (std::exchange(request.answering, true))
     {
         return;
     }
     request.first_event_at = w.now;
-    relay_answer answer;
+    proxy_answer answer;
     answer.request = request.number;
-    answer.kind = relay_answer_kind::begin;
+    answer.kind = proxy_answer_kind::begin;
     answer.status = request.head->status;
     answer.headers = request.head->headers;
-    answer.close_connection = w.relay.stopping_since.has_value();
-    w.out.relay_answers.push_back(std::move(answer));
+    answer.close_connection = w.proxy.stopping_since.has_value();
+    w.out.proxy_answers.push_back(std::move(answer));
 }
 
-void record_event_time(world &w, relay_attempt const &attempt,
-                       relay_state_entry &request)
+void record_event_time(world &w, proxy_attempt const &attempt,
+                       proxied_request &request)
 {
     auto const last = std::exchange(request.last_event_at, w.now);
     if (last == instant{})
@@ -220,33 +220,33 @@
         return;
     }
     auto const pause = w.now - last;
-    request.longest_pause = std::max(request.longest_pause, pause);
-    if (auto *instance = w.relay.instances.find(attempt.instance))
+    request.longest_event_gap = std::max(request.longest_event_gap, pause);
+    if (auto *instance = w.proxy.instances.find(attempt.instance))
     {
         update_pause_estimate(w, *instance, pause);
     }
 }
 
-void forward_events(world &w, relay_attempt const &attempt,
-                    relay_state_entry &request)
+void forward_events(world &w, proxy_attempt const &attempt,
+                    proxied_request &request)
 {
-    auto events = take_new_events(request.partial_event, request.last_event);
+    auto events = extract_new_events(request.partial_event, request.last_event);
     if (events.empty())
     {
         return;
     }
     begin_answer(w, request);
     record_event_time(w, attempt, request);
-    relay_answer answer;
+    proxy_answer answer;
     answer.request = request.number;
-    answer.kind = relay_answer_kind::part;
+    answer.kind = proxy_answer_kind::body_chunk;
     answer.bytes = std::move(events);
-    w.out.relay_answers.push_back(std::move(answer));
+    w.out.proxy_answers.push_back(std::move(answer));
 }
 
-void take_bytes(world &w, relay_attempt &attempt, std::string const &bytes)
+void take_bytes(world &w, proxy_attempt &attempt, std::string const &bytes)
 {
-    auto *request = w.relay.requests.find(attempt.request);
+    auto *request = w.proxy.requests.find(attempt.request);
     if (request == nullptr || !request->head)
     {
         return;
@@ -268,40 +268,41 @@
     }
 }
 
-void end_stream(world &w, relay_state_entry &request)
+void end_stream(world &w, proxied_request &request)
 {
     begin_answer(w, request);
-    relay_answer answer;
+    proxy_answer answer;
     answer.request = request.number;
-    answer.kind = relay_answer_kind::end;
-    w.out.relay_answers.push_back(std::move(answer));
-    finish_relay(w, request.number, "answered");
+    answer.kind = proxy_answer_kind::end;
+    w.out.proxy_answers.push_back(std::move(answer));
+    finish_proxied_request(w, request.number, "answered");
 }
 
-void forward_complete_answer(world &w, relay_state_entry &request)
+void forward_complete_answer(world &w, proxied_request &request)
 {
     request.first_event_at = w.now;
-    relay_answer answer;
+    proxy_answer answer;
     answer.request = request.number;
-    answer.kind = relay_answer_kind::whole;
+    answer.kind = proxy_answer_kind::complete;
     answer.status = request.head->status;
     answer.headers = request.head->headers;
     answer.bytes = std::move(request.body);
-    answer.close_connection = w.relay.stopping_since.has_value();
+    answer.close_connection = w.proxy.stopping_since.has_value();
     bool const success = is_success(answer.status);
-    w.out.relay_answers.push_back(std::move(answer));
-    finish_relay(w, request.number, success ? "answered" : "endpoint_error");
+    w.out.proxy_answers.push_back(std::move(answer));
+    finish_proxied_request(w, request.number,
+                           success ? "answered" : "endpoint_error");
 }
 
 /// Retries the call, fails the request, or forwards the error reply.
-void handle_error_reply(world &w, relay_state_entry &request)
+void handle_error_reply(world &w, proxied_request &request)
 {
     auto const status = request.head->status;
-    bool const again = status >= first_server_error &&
-                       request.route->repeatable() &&
-                       retry_relay(w, request, true, duration(0),
-                                   "the instance replied with status " +
-                                       std::to_string(status));
+    bool const again =
+        status >= first_server_error && request.route->can_retry() &&
+        retry_proxied_request(w, request, true, duration(0),
+                              "the instance replied with status " +
+                                  std::to_string(status));
     if (again)
     {
         request.head.reset();
@@ -310,17 +311,17 @@
     }
     if (request.answering || means_not_run(status))
     {
-        fail_relay(w, request.number,
-                   "the instance replied with status " +
-                       std::to_string(status));
+        fail_proxied_request(w, request.number,
+                             "the instance replied with status " +
+                                 std::to_string(status));
         return;
     }
     forward_complete_answer(w, request);
 }
 
-void take_end(world &w, relay_attempt &attempt)
+void take_end(world &w, proxy_attempt &attempt)
 {
-    auto *request = w.relay.requests.find(attempt.request);
+    auto *request = w.proxy.requests.find(attempt.request);
     if (request == nullptr || !request->head)
     {
         call_failed(w, attempt, true, "the reply ended before its head");
@@ -352,28 +353,28 @@
     forward_complete_answer(w, *request);
 }
 
-void handle_event(world &w, relay_event const &event)
+void handle_event(world &w, proxy_event const &event)
 {
-    auto *attempt = w.relay.requests.find(event.attempt);
+    auto *attempt = w.proxy.requests.find(event.attempt);
     if (attempt == nullptr)
     {
         return;
     }
     switch (event.kind)
     {
-    case relay_event_kind::head:
+    case proxy_event_kind::head:
         take_head(w, *attempt, event.head);
         return;
-    case relay_event_kind::bytes:
+    case proxy_event_kind::bytes:
         take_bytes(w, *attempt, event.bytes);
         return;
-    case relay_event_kind::finished:
+    case proxy_event_kind::finished:
         take_end(w, *attempt);
         return;
-    case relay_event_kind::failed_before_send:
+    case proxy_event_kind::failed_before_send:
         call_failed(w, *attempt, false, "could not connect to the instance");
         return;
-    case relay_event_kind::failed_after_send:
+    case proxy_event_kind::failed_after_send:
         call_failed(
             w, *attempt, true,
             "the connection failed after the request may have been sent");
@@ -383,13 +384,13 @@
 
 void handle_prefill_result(world &w, prefill_result const &result)
 {
-    auto *attempt = w.relay.requests.find(result.attempt);
+    auto *attempt = w.proxy.requests.find(result.attempt);
     if (attempt == nullptr)
     {
         return;
     }
-    auto *request = w.relay.requests.find(attempt->request);
-    auto const *instance = w.relay.instances.find(attempt->instance);
+    auto *request = w.proxy.requests.find(attempt->request);
+    auto const *instance = w.proxy.instances.find(attempt->instance);
     if (request == nullptr || instance == nullptr || result.handle.empty())
     {
         call_failed(w, *attempt, true, "the prefill reply has no KV handle");
@@ -397,20 +398,20 @@
     }
     record_first_bytes(w, *attempt);
     count_call(w, "prefilled");
-    ++w.relay.metrics.prefill_handovers;
-    request->kept = kept_prefill{attempt->instance,
-                                 instance->definition.address, result.handle};
+    ++w.proxy.metrics.prefill_handovers;
+    request->retained_prefill = kept_prefill{
+        attempt->instance, instance->definition.address, result.handle};
     close_attempt(w, result.attempt, call_result::succeeded);
-    w.relay.waiting.push_back(request->number);
+    w.proxy.waiting.push_back(request->number);
     buffer_request_log(w, *request, "prompt_read",
-                       {{"instance", request->kept->instance}});
+                       {{"instance", request->retained_prefill->instance}});
 }
 
 } // namespace
 
-void advance_relays(world &w)
+void advance_proxied_requests(world &w)
 {
-    std::ranges::for_each(w.in.relay_events, [&w](relay_event const &event)
+    std::ranges::for_each(w.in.proxy_events, [&w](proxy_event const &event)
                           { handle_event(w, event); });
     std::ranges::for_each(w.in.prefill_results,
                           [&w](prefill_result const &result)
--- a/src/advance_relays.hpp
+++ b/src/advance_proxied_requests.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_ADVANCE_RELAYS_HPP
-#define AGATELEDGE_ADVANCE_RELAYS_HPP
+#ifndef AGATELEDGE_ADVANCE_PROXIED_REQUESTS_HPP
+#define AGATELEDGE_ADVANCE_PROXIED_REQUESTS_HPP
 
 namespace agateledge
 {
@@ -12,7 +12,7 @@
 /// have run, and a stream that has begun only if its route is resumable.
 ///
 /// @param w state of the daemon
-void advance_relays(world &w);
+void advance_proxied_requests(world &w);
 
 } // namespace agateledge
 
--- a/src/answer_operators.cpp
+++ b/src/answer_operators.cpp
@@ -1,7 +1,6 @@
 #include "answer_operators.hpp"
 
 #include "apply_statement.hpp"
-#include "call_table.hpp"
 #include "configuration_head.hpp"
 #include "configuration_sections.hpp"
 #include "describe_effects.hpp"
@@ -13,6 +12,7 @@
 #include "query_columns.hpp"
 #include "query_rows.hpp"
 #include "request_order.hpp"
+#include "send_table_call.hpp"
 #include "statement_text.hpp"
 #include "world.hpp"
 
@@ -88,7 +88,7 @@
                       statement parsed, table_call call)
 {
     auto const operation =
-        call_table(w, table_owner::operators, std::move(call));
+        send_table_call(w, table_owner::operators, std::move(call));
     w.queries.add_pending(operation, {request, std::move(parsed)});
 }
 
@@ -282,7 +282,7 @@
 
     void propose(configuration next, std::string summary)
     {
-        next.author = request_.who;
+        next.author = request_.operator_name;
         next.changed_at = request_.received_at;
         next.summary = std::move(summary);
         propose_configuration(w_, std::move(next), request_.call);
@@ -325,7 +325,7 @@
     }
     pending.index = *std::move(index);
     w.queries.add_pending(
-        call_table(w, table_owner::operators, std::move(call)),
+        send_table_call(w, table_owner::operators, std::move(call)),
         std::move(pending));
 }
 
--- a/src/store_configuration.cpp
+++ b/src/append_configuration_writes.cpp
@@ -1,4 +1,4 @@
-#include "store_configuration.hpp"
+#include "append_configuration_writes.hpp"
 
 #include "configuration_head.hpp"
 #include "configuration_state.hpp"
@@ -33,10 +33,11 @@
 
 } // namespace
 
-void store_configuration(table_call &call, configuration_state const &sync,
-                         configuration_index const &index,
-                         section_documents const &documents,
-                         std::string const &write_id)
+void append_configuration_writes(table_call &call,
+                                 configuration_state const &sync,
+                                 configuration_index const &index,
+                                 section_documents const &documents,
+                                 std::string const &write_id)
 {
     call.puts.push_back(
         {configuration_head_key,
--- a/src/store_configuration.hpp
+++ b/src/append_configuration_writes.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_STORE_CONFIGURATION_HPP
-#define AGATELEDGE_STORE_CONFIGURATION_HPP
+#ifndef AGATELEDGE_APPEND_CONFIGURATION_WRITES_HPP
+#define AGATELEDGE_APPEND_CONFIGURATION_WRITES_HPP
 
 #include "configuration_sections.hpp"
 
@@ -21,10 +21,11 @@
 /// @param documents sections of the revision
 /// @param write_id identifies the write, so that its writer can recognise it
 ///        when it reads the rows
-void store_configuration(table_call &call, configuration_state const &sync,
-                         configuration_index const &index,
-                         section_documents const &documents,
-                         std::string const &write_id);
+void append_configuration_writes(table_call &call,
+                                 configuration_state const &sync,
+                                 configuration_index const &index,
+                                 section_documents const &documents,
+                                 std::string const &write_id);
 
 } // namespace agateledge
 
--- a/src/follow_changes.cpp
+++ b/src/apply_change_notices.cpp
@@ -1,7 +1,7 @@
-#include "follow_changes.hpp"
+#include "apply_change_notices.hpp"
 
 #include "issue_orders.hpp"
-#include "move_open_work.hpp"
+#include "reassign_open_work.hpp"
 #include "world.hpp"
 
 #include <string>
@@ -16,13 +16,13 @@
 bool has_ended(world const &w, engine_state const &engine,
                change_notice const &notice)
 {
-    return w.now - notice.heard >= change_notice_lifetime ||
+    return w.now - notice.stated_at >= change_notice_lifetime ||
            (engine.report && engine.report->generation > notice.generation);
 }
 
 } // namespace
 
-void follow_changes(world &w)
+void apply_change_notices(world &w)
 {
     std::vector<std::string> ended;
     for (auto &[name, notice] : w.orders.notices)
@@ -33,12 +33,13 @@
             ended.push_back(name);
             continue;
         }
-        wake_at(w, notice.heard + change_notice_lifetime);
-        auto const move_at = notice.first_heard + w.config.policy.drain_timeout;
-        if (!notice.moved && w.now >= move_at)
+        wake_at(w, notice.stated_at + change_notice_lifetime);
+        auto const move_at =
+            notice.first_received_at + w.config.policy.drain_timeout;
+        if (!notice.work_moved && w.now >= move_at)
         {
-            notice.moved = true;
-            move_open_work(w, *index);
+            notice.work_moved = true;
+            reassign_open_work(w, *index);
         }
     }
     for (auto const &name : ended)
--- a/src/apply_configuration.cpp
+++ b/src/apply_configuration.cpp
@@ -1,11 +1,11 @@
 #include "apply_configuration.hpp"
 
+#include "append_configuration_writes.hpp"
 #include "backoff_delay.hpp"
-#include "call_table.hpp"
 #include "configuration_head.hpp"
 #include "configuration_json.hpp"
 #include "rendezvous_rank.hpp"
-#include "store_configuration.hpp"
+#include "send_table_call.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -34,7 +34,8 @@
     auto &sync = w.config_sync;
     sync.step = step;
     sync.operation_sent_at = w.now;
-    sync.operation = call_table(w, table_owner::configuration, std::move(call));
+    sync.operation =
+        send_table_call(w, table_owner::configuration, std::move(call));
 }
 
 void read_head(world &w)
@@ -60,8 +61,8 @@
     auto const index = split_configuration(first, documents);
     table_call call;
     call.conditions.push_back({configuration_head_key, 0});
-    store_configuration(call, w.config_sync, index, documents,
-                        w.identity.name + ":first");
+    append_configuration_writes(call, w.config_sync, index, documents,
+                                w.identity.name + ":first");
     send(w, configuration_step::writing_first_revision, std::move(call));
 }
 
@@ -116,7 +117,7 @@
     }
     sync.documents = std::move(used);
     sync.stored = std::move(sync.pending);
-    if (put_in_force(w, *config))
+    if (activate_configuration(w, *config))
     {
         confirm_revision(w, sync.head_read_at);
     }
@@ -204,7 +205,7 @@
 void apply_peer_document(world &w, configuration_document const &document)
 {
     auto const config = configuration_from_json(document.document);
-    if (!config.ok() || !put_in_force(w, *config))
+    if (!config.ok() || !activate_configuration(w, *config))
     {
         return;
     }
@@ -301,7 +302,7 @@
             w.now - *sync.started_at <= configuration_stale_after);
 }
 
-bool put_in_force(world &w, configuration const &config)
+bool activate_configuration(world &w, configuration const &config)
 {
     if (config.revision <= w.config.revision &&
         !w.faults.allow_revision_rollback)
--- a/src/apply_configuration.hpp
+++ b/src/apply_configuration.hpp
@@ -17,7 +17,7 @@
 /// it.
 ///
 /// @return true when `config` has been put in force
-bool put_in_force(world &w, configuration const &config);
+bool activate_configuration(world &w, configuration const &config);
 
 /// Puts the configuration from the daemon's settings in force as revision 0
 /// until the current one arrives from the table service or a peer. Orders and
--- a/src/bounded_appender.cpp
+++ b/src/bounded_appender.cpp
@@ -42,7 +42,8 @@
 {
     auto &bucket =
         level >= log4cplus::WARN_LOG_LEVEL ? warning_budget_ : info_budget_;
-    return bucket.take(daemon_loop::clock_now(), static_cast<double>(bytes));
+    return bucket.try_consume(daemon_loop::clock_now(),
+                              static_cast<double>(bytes));
 }
 
 bool bounded_appender::write_line(std::string const &line) const
--- a/src/cache_reader.cpp
+++ b/src/cache_reader.cpp
@@ -2,13 +2,13 @@
 
 #include "daemon_loop.hpp"
 #include "http_client.hpp"
-#include "relay_codec.hpp"
+#include "proxy_codec.hpp"
 
 namespace agateledge
 {
 
 cache_reader::cache_reader(http_client &http, daemon_loop &loop,
-                           relay_codec const &codec)
+                           proxy_codec const &codec)
     : http_(http), loop_(loop), codec_(codec)
 {
 }
--- a/src/cache_reader.hpp
+++ b/src/cache_reader.hpp
@@ -8,7 +8,7 @@
 
 class daemon_loop;
 class http_client;
-struct relay_codec;
+struct proxy_codec;
 
 /// Client that reads the cache changes of engines.
 class cache_reader
@@ -18,7 +18,7 @@
     /// @param loop receives the replies; must outlive this object
     /// @param codec encodes calls and decodes replies; must outlive this object
     cache_reader(http_client &http, daemon_loop &loop,
-                 relay_codec const &codec);
+                 proxy_codec const &codec);
 
     /// Starts a read; its reply is added to the inbox of the loop.
     void read(cache_read const &read);
@@ -26,7 +26,7 @@
 private:
     http_client &http_;
     daemon_loop &loop_;
-    relay_codec const &codec_;
+    proxy_codec const &codec_;
 };
 
 } // namespace agateledge
--- a/src/caller_listener.cpp
+++ b/src/caller_listener.cpp
@@ -84,14 +84,14 @@
 absl::Status caller_listener::start(std::string const &address,
                                     tls_settings const &tls)
 {
-    return gate().start(address, tls);
+    return acceptor().start(address, tls);
 }
 
 void caller_listener::check_headers(caller_exchange &exchange)
 {
     auto *message = exchange.message();
-    gate().set_deadline(server_.connection_of(exchange),
-                        limits_.request_timeout);
+    acceptor().set_deadline(server_.connection_of(exchange),
+                            limits_.request_timeout);
     auto const *uri = soup_server_message_get_uri(message);
     bool const health =
         uri != nullptr &&
@@ -138,8 +138,8 @@
         return;
     }
     auto *key = server_.connection_of(exchange);
-    gate().clear_deadline(key);
-    if (gate().peer_closed(key))
+    acceptor().clear_deadline(key);
+    if (acceptor().peer_closed(key))
     {
         exchange.refuse(result_code::invalid_request,
                         "the client closed its side of the connection before "
@@ -334,11 +334,11 @@
     auto *key = server_.connection_of(exchange);
     if (exchange.buffered_bytes() <= 0)
     {
-        gate().clear_deadline(key);
+        acceptor().clear_deadline(key);
         set_stalled(exchange, false);
         return;
     }
-    gate().set_deadline(key, reader_timeout);
+    acceptor().set_deadline(key, reader_timeout);
     if (exchange.buffered_bytes() > limits_.max_buffered_bytes)
     {
         set_stalled(exchange, true);
@@ -367,13 +367,13 @@
     {
         stalled_streams_.erase(exchange.stream_key);
     }
-    if (on_hold)
+    if (on_backpressure)
     {
-        on_hold(exchange.stream_key, stalled);
+        on_backpressure(exchange.stream_key, stalled);
     }
 }
 
-bool caller_listener::is_held(std::string const &stream_key) const
+bool caller_listener::is_paused(std::string const &stream_key) const
 {
     return stalled_streams_.contains(stream_key);
 }
@@ -385,7 +385,7 @@
         return;
     }
     report_departure(exchange);
-    gate().shut_down(server_.connection_of(exchange));
+    acceptor().shut_down(server_.connection_of(exchange));
     // Marks the exchange as answered; the connection is already shut down, so
     // the caller receives nothing.
     exchange.refuse(result_code::invalid_request, "the client disconnected");
@@ -397,14 +397,15 @@
     set_stalled(exchange, false);
     if (by_request_.erase(exchange.request) != 0)
     {
-        loop_.input().departures.push_back({exchange.request});
+        loop_.input().caller_disconnects.push_back({exchange.request});
     }
 }
 
 void caller_listener::handle_end(caller_exchange &exchange)
 {
     report_departure(exchange);
-    gate().set_deadline(server_.connection_of(exchange), keep_alive_timeout);
+    acceptor().set_deadline(server_.connection_of(exchange),
+                            keep_alive_timeout);
 }
 
 } // namespace agateledge
--- a/src/caller_listener.hpp
+++ b/src/caller_listener.hpp
@@ -43,7 +43,7 @@
     caller_listener(caller_listener const &) = delete;
     caller_listener &operator=(caller_listener const &) = delete;
 
-    /// Starts listening; see `connection_gate::start`.
+    /// Starts listening; see `connection_acceptor::start`.
     absl::Status start(std::string const &address, tls_settings const &tls);
 
     /// Queues a reply of the daemon for its caller; `flush` writes it.
@@ -53,17 +53,18 @@
     /// written together.
     void flush();
 
-    connection_gate &gate() { return server_.gate(); }
+    connection_acceptor &acceptor() { return server_.acceptor(); }
 
     /// @return true while the caller that reads this engine stream has stalled
-    bool is_held(std::string const &stream_key) const;
+    bool is_paused(std::string const &stream_key) const;
 
     /// @return number of exchanges whose answer is not yet complete
     std::size_t open_exchanges() const { return by_request_.size(); }
 
     /// Called when the caller that reads an engine stream stalls (true) or has
     /// read all buffered bytes (false).
-    std::function<void(std::string const &stream_key, bool hold)> on_hold;
+    std::function<void(std::string const &stream_key, bool hold)>
+        on_backpressure;
 
 private:
     void check_headers(caller_exchange &exchange);
--- a/src/check_invariants.cpp
+++ b/src/check_invariants.cpp
@@ -52,7 +52,7 @@
 
 void check_revision(world &w)
 {
-    auto &highest = w.config_sync.highest;
+    auto &highest = w.config_sync.highest_revision;
     internal_assert(w.config.revision >= highest, "revision ",
                     w.config.revision.value(), " in force after ",
                     highest.value());
--- a/src/choose_instance.cpp
+++ b/src/choose_instance.cpp
@@ -1,7 +1,7 @@
 #include "choose_instance.hpp"
 
-#include "follow_caches.hpp"
-#include "predict_pause.hpp"
+#include "poll_caches.hpp"
+#include "predict_event_gap.hpp"
 #include "world.hpp"
 
 #include <xxhash.h>
@@ -118,11 +118,11 @@
     return -std::log(uniform) / weight;
 }
 
-bool is_eligible(world const &w, relay_state_entry const &request,
+bool is_eligible(world const &w, proxied_request const &request,
                  instance_state const &instance)
 {
     auto const &definition = instance.definition;
-    bool const decoding = request.kept || request.prefill_failed ||
+    bool const decoding = request.retained_prefill || request.prefill_failed ||
                           !request.last_event.empty() ||
                           request.content->prompt == std::nullopt;
     bool const role_fits = definition.role != engine_role::prefill || !decoding;
@@ -133,9 +133,9 @@
 /// Eligible instances. Instances that the request was already sent to are
 /// returned only when there are no others; ejected ones are never eligible.
 std::vector<candidate> candidates_of(world const &w,
-                                     relay_state_entry const &request)
+                                     proxied_request const &request)
 {
-    auto const &instances = w.relay.instances.of_service(request.service);
+    auto const &instances = w.proxy.instances.of_service(request.service);
     auto receivers_left = count_receivers(instances);
     std::vector<candidate> untried;
     std::vector<candidate> retried;
@@ -146,7 +146,7 @@
         {
             continue;
         }
-        auto const &tried = request.tried;
+        auto const &tried = request.tried_instances;
         bool const already_tried =
             std::ranges::find(tried, instance->definition.id) != tried.end();
         (already_tried ? retried : untried)
@@ -155,7 +155,7 @@
     return untried.empty() ? retried : untried;
 }
 
-void rank_candidates(relay_state_entry const &request,
+void rank_candidates(proxied_request const &request,
                      std::vector<candidate> &candidates)
 {
     if (request.chain.empty())
@@ -182,10 +182,12 @@
 ///         prefilled it, because a transfer between data centres takes twice
 ///         as long; the daemon's own before the prefill
 std::string const &handover_data_centre(world const &w,
-                                        relay_state_entry const &request)
+                                        proxied_request const &request)
 {
     auto const *reader =
-        request.kept ? w.relay.instances.find(request.kept->instance) : nullptr;
+        request.retained_prefill
+            ? w.proxy.instances.find(request.retained_prefill->instance)
+            : nullptr;
     return reader == nullptr ? w.identity.data_centre
                              : reader->definition.data_centre;
 }
@@ -199,10 +201,10 @@
 /// prefilled, and to the receiving engines of the hand-over data centre.
 /// Without this limit the cost of each choice grows with the number of engines,
 /// which matters at hundreds of them.
-void limit_candidates(world const &w, relay_state_entry const &request,
+void limit_candidates(world const &w, proxied_request const &request,
                       std::vector<candidate> &candidates)
 {
-    if (follows_caches(w) || request.chain.empty() ||
+    if (polls_caches(w) || request.chain.empty() ||
         candidates.size() <= static_cast<std::size_t>(max_ranked_candidates))
     {
         return;
@@ -211,16 +213,16 @@
     bool const any_near = std::ranges::any_of(
         candidates, [&near](candidate const &item)
         { return item.receives && is_in_data_centre(near, item); });
-    std::erase_if(candidates,
-                  [&](candidate const &item)
-                  {
-                      bool const first = (!request.kept || !any_near) &&
-                                         item.order < max_ranked_candidates;
-                      bool const receives =
-                          item.receives &&
-                          (!any_near || is_in_data_centre(near, item));
-                      return !first && !receives;
-                  });
+    std::erase_if(
+        candidates,
+        [&](candidate const &item)
+        {
+            bool const first = (!request.retained_prefill || !any_near) &&
+                               item.order < max_ranked_candidates;
+            bool const receives =
+                item.receives && (!any_near || is_in_data_centre(near, item));
+            return !first && !receives;
+        });
 }
 
 /// @return predicted time until an engine continues a prompt that another one
@@ -259,7 +261,7 @@
 ///         several, the one that used them last, because engine caches evict
 ///         the least recently used parts first; none when no engine is known to
 ///         cache any
-prefix_source find_prefix_source(relay_state_entry const &request,
+prefix_source find_prefix_source(proxied_request const &request,
                                  std::vector<candidate> const &candidates,
                                  instance_state const *except)
 {
@@ -270,7 +272,7 @@
         prefix_source const found{
             item.instance, cache.copyable_tokens(request.chain),
             request.chain.empty() ? instant{}
-                                  : cache.used_at(request.chain.back())};
+                                  : cache.last_used_at(request.chain.back())};
         bool const better = std::pair(found.tokens, found.used_at) >
                             std::pair(best.tokens, best.used_at);
         if (item.instance != except && better)
@@ -283,7 +285,7 @@
 
 /// @return the top-ranked engine for the shared parts, which is assumed to
 ///         cache them; none when the request has no shared parts
-prefix_source assumed_prefix_source(relay_state_entry const &request,
+prefix_source assumed_prefix_source(proxied_request const &request,
                                     std::vector<candidate> const &candidates)
 {
     if (request.chain.empty())
@@ -299,10 +301,10 @@
 
 /// Counts the shared parts as cached on their top-ranked engines when engine
 /// caches are not tracked.
-void assume_cached_parts(world const &w, relay_state_entry const &request,
+void assume_cached_parts(world const &w, proxied_request const &request,
                          candidate &item)
 {
-    if (follows_caches(w) || request.chain.empty() ||
+    if (polls_caches(w) || request.chain.empty() ||
         item.rank >= cached_copies_per_part)
     {
         return;
@@ -314,14 +316,14 @@
     prediction.copied_tokens = 0;
 }
 
-void set_cost(world &w, relay_state_entry const &request,
+void set_cost(world &w, proxied_request const &request,
               prefix_source const &source, candidate &item)
 {
     item.prediction =
         predict_first_event(w, request, *item.instance, source.tokens);
     assume_cached_parts(w, request, item);
     auto &prediction = item.prediction;
-    if (request.kept)
+    if (request.retained_prefill)
     {
         prediction.unread_tokens = 0;
         prediction.time = handover_cost(item);
@@ -329,13 +331,13 @@
     item.cost = prediction.time +
                 from_seconds(copied_token_cost_s * prediction.copied_tokens) +
                 rank_cost * item.rank;
-    if (item.receives && !request.kept && request.content->prompt)
+    if (item.receives && !request.retained_prefill && request.content->prompt)
     {
         item.cost += from_seconds(
             receiver_prefill_cost_factor * prediction.unread_tokens /
             prefill_tokens_per_ms(w, *item.instance) / 1e3);
     }
-    if (!request.kept && request.content->prompt)
+    if (!request.retained_prefill && request.content->prompt)
     {
         item.cost += pause_cost(w, *item.instance, prediction.unread_tokens);
     }
@@ -358,13 +360,13 @@
         return false;
     }
     auto const local = static_cast<double>(instance.open_calls.size());
-    if (!w.relay.load.heard.empty())
+    if (!w.proxy.load.received_reports.empty())
     {
-        return local + static_cast<double>(instance.others_open_calls) >=
+        return local + static_cast<double>(instance.peer_open_calls) >=
                max_requests_per_engine;
     }
     return local >=
-           std::ceil(max_requests_per_engine / w.relay.sharing_daemons());
+           std::ceil(max_requests_per_engine / w.proxy.effective_fleet_size());
 }
 
 /// @return address of the engine from which the chosen one copies the shared
@@ -372,7 +374,7 @@
 ///         `find_prefix_source`, or else the top-ranked one, to which other
 ///         daemons may have sent them; empty for none
 std::string
-choose_prefix_source_address(relay_state_entry const &request,
+choose_prefix_source_address(proxied_request const &request,
                              std::vector<candidate> const &candidates,
                              instance_state const &chosen)
 {
@@ -394,12 +396,12 @@
 } // namespace
 
 std::optional<instance_choice> choose_instance(world &w,
-                                               relay_state_entry const &request)
+                                               proxied_request const &request)
 {
     auto candidates = candidates_of(w, request);
     rank_candidates(request, candidates);
     limit_candidates(w, request, candidates);
-    auto const source = follows_caches(w)
+    auto const source = polls_caches(w)
                             ? find_prefix_source(request, candidates, nullptr)
                             : assumed_prefix_source(request, candidates);
     std::ranges::for_each(candidates, [&](candidate &item)
@@ -423,13 +425,13 @@
     out.full = is_full(w, *best.instance, best.prediction);
     out.instance = best.instance->definition.id;
     bool const prefill = best.instance->definition.role == engine_role::prefill;
-    out.stage = prefill ? relay_stage::prefill : relay_stage::run;
+    out.stage = prefill ? proxy_stage::prefill : proxy_stage::run;
     out.prediction = best.prediction;
     if (prefill)
     {
         out.prediction.time += handover;
     }
-    if (!request.kept)
+    if (!request.retained_prefill)
     {
         out.prefix_source_address =
             choose_prefix_source_address(request, candidates, *best.instance);
--- a/src/choose_instance.hpp
+++ b/src/choose_instance.hpp
@@ -2,7 +2,7 @@
 #define AGATELEDGE_CHOOSE_INSTANCE_HPP
 
 #include "predict_first_event.hpp"
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 
 #include <optional>
 #include <string>
@@ -10,14 +10,14 @@
 namespace agateledge
 {
 
-struct relay_state_entry;
+struct proxied_request;
 struct world;
 
 /// Instance chosen for a request.
 struct instance_choice
 {
     std::string instance;
-    relay_stage stage = relay_stage::run;
+    proxy_stage stage = proxy_stage::run;
     /// Address of the engine to copy cached prompt parts from; empty when
     /// nothing is copied.
     std::string prefix_source_address;
@@ -45,8 +45,8 @@
 /// @param request waiting request; if an engine already holds its prefilled KV
 ///        cache, it goes to an engine in decode role
 /// @return the choice, or nothing when no instance is eligible
-std::optional<instance_choice>
-choose_instance(world &w, relay_state_entry const &request);
+std::optional<instance_choice> choose_instance(world &w,
+                                               proxied_request const &request);
 
 } // namespace agateledge
 
--- a/src/claim_calls.cpp
+++ b/src/claim_calls.cpp
@@ -1,8 +1,8 @@
 #include "claim_calls.hpp"
 
-#include "call_table.hpp"
 #include "json_text.hpp"
 #include "request_lifecycle.hpp"
+#include "send_table_call.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -81,7 +81,7 @@
         write(claim.row);
         break;
     case claim_step::marking:
-        write(claim.marked);
+        write(claim.abandoned_row);
         break;
     case claim_step::recording:
         write(*claim.outcome);
@@ -100,8 +100,8 @@
 void send_operation(world &w, claim_state &claim, claim_step step)
 {
     claim.step = step;
-    w.claims.wait_for(claim,
-                      call_table(w, table_owner::claim, table_call_of(claim)));
+    w.claims.wait_for(
+        claim, send_table_call(w, table_owner::claim, table_call_of(claim)));
 }
 
 /// Schedules the operation of the claim's step after a delay that grows with
@@ -207,8 +207,8 @@
         retry_later(w, claim);
         return;
     }
-    claim.marked = row;
-    claim.marked.state = claim_row_state::unknown;
+    claim.abandoned_row = row;
+    claim.abandoned_row.state = claim_row_state::unknown;
     claim.row_version = stored.version;
     send_operation(w, claim, claim_step::marking);
 }
@@ -457,7 +457,7 @@
 
 } // namespace
 
-bool asks_for_outcome(request_arrival const &arrival)
+bool is_outcome_query(request_arrival const &arrival)
 {
     return !arrival.service.empty() && arrival.method == outcome_method;
 }
--- a/src/claim_calls.hpp
+++ b/src/claim_calls.hpp
@@ -13,7 +13,7 @@
 struct world;
 
 /// @return true when the arrival asks for the outcome of a non-idempotent call
-bool asks_for_outcome(request_arrival const &arrival);
+bool is_outcome_query(request_arrival const &arrival);
 
 /// Starts to claim a non-idempotent call by inserting its row if it is absent.
 void begin_claim(world &w, request_state &request);
--- a/src/claim_table.hpp
+++ b/src/claim_table.hpp
@@ -44,7 +44,7 @@
     /// Version of the row that the next write replaces; 0 for an absent row.
     std::uint64_t row_version = 0;
     /// In step `marking`, the row of the ended holder with the state `unknown`.
-    claim_row marked;
+    claim_row abandoned_row;
     /// Operation of the table service that is in flight; 0 for none.
     operation_number operation;
     /// True when a write of unknown outcome may still take effect.
--- a/src/completion_writer.cpp
+++ b/src/completion_writer.cpp
@@ -127,7 +127,7 @@
     error["code"] = std::string(name_of(code));
     error["number"] = static_cast<int>(code);
     error["message"] = std::string(message);
-    error["not_run"] = states_not_run(code);
+    error["not_run"] = guarantees_not_run(code);
     return json_to_text(json);
 }
 
--- a/src/configuration_state.hpp
+++ b/src/configuration_state.hpp
@@ -61,7 +61,7 @@
     /// Latest time at which the revision in force was known to be current.
     std::optional<instant> confirmed_at;
     /// Highest revision that has been in force, checked by the invariants.
-    revision_number highest;
+    revision_number highest_revision;
     /// Time of the first tick.
     std::optional<instant> started_at;
     configuration_step step = configuration_step::idle;
--- a/src/connection_gate.cpp
+++ b/src/connection_acceptor.cpp
@@ -1,4 +1,4 @@
-#include "connection_gate.hpp"
+#include "connection_acceptor.hpp"
 
 #include "daemon_loop.hpp"
 #include "result_code.hpp"
@@ -64,34 +64,35 @@
 
 } // namespace
 
-struct connection_gate::callbacks
+struct connection_acceptor::callbacks
 {
     static gboolean incoming(GSocketService *, GSocketConnection *stream,
                              GObject *, gpointer self)
     {
-        static_cast<connection_gate *>(self)->accept(stream);
+        static_cast<connection_acceptor *>(self)->accept(stream);
         return TRUE;
     }
 
     static gboolean peer_event(gint, GIOCondition, gpointer self)
     {
-        static_cast<connection_gate *>(self)->read_peer_events();
+        static_cast<connection_acceptor *>(self)->read_peer_events();
         return G_SOURCE_CONTINUE;
     }
 
     static gboolean shut_down_expired(gpointer self)
     {
-        static_cast<connection_gate *>(self)->shut_down_expired();
+        static_cast<connection_acceptor *>(self)->shut_down_expired();
         return G_SOURCE_CONTINUE;
     }
 
     static void destroyed(gpointer self, GObject *stream)
     {
-        static_cast<connection_gate *>(self)->remove_connection(stream);
+        static_cast<connection_acceptor *>(self)->remove_connection(stream);
     }
 };
 
-connection_gate::connection_gate(SoupServer *server, listener_limits limits)
+connection_acceptor::connection_acceptor(SoupServer *server,
+                                         listener_limits limits)
     : server_(server), limits_(limits), service_(g_socket_service_new()),
       epoll_(epoll_create1(EPOLL_CLOEXEC))
 {
@@ -102,7 +103,7 @@
                                      callbacks::shut_down_expired, this);
 }
 
-connection_gate::~connection_gate()
+connection_acceptor::~connection_acceptor()
 {
     stop();
     g_signal_handlers_disconnect_by_data(service_.get(), this);
@@ -115,8 +116,8 @@
     close(epoll_);
 }
 
-absl::Status connection_gate::start(std::string const &address,
-                                    tls_settings const &tls)
+absl::Status connection_acceptor::start(std::string const &address,
+                                        tls_settings const &tls)
 {
     tls_ = tls;
     auto certificate = reload_certificate();
@@ -148,7 +149,7 @@
     return absl::OkStatus();
 }
 
-absl::Status connection_gate::reload_certificate()
+absl::Status connection_acceptor::reload_certificate()
 {
     if (tls_.certificate_file.empty())
     {
@@ -166,13 +167,13 @@
     return absl::OkStatus();
 }
 
-void connection_gate::stop()
+void connection_acceptor::stop()
 {
     g_socket_service_stop(service_.get());
     g_socket_listener_close(G_SOCKET_LISTENER(service_.get()));
 }
 
-void connection_gate::accept(GSocketConnection *stream)
+void connection_acceptor::accept(GSocketConnection *stream)
 {
     if (connections_.size() >=
         static_cast<std::size_t>(limits_.max_connections))
@@ -198,8 +199,8 @@
     pass_to_server(stream, remote);
 }
 
-void connection_gate::pass_to_server(GSocketConnection *stream,
-                                     GSocketAddress *remote)
+void connection_acceptor::pass_to_server(GSocketConnection *stream,
+                                         GSocketAddress *remote)
 {
     gobject_ptr<GSocketAddress> const local(
         g_socket_connection_get_local_address(stream, nullptr));
@@ -218,8 +219,8 @@
                                 nullptr);
 }
 
-void connection_gate::watch_peer(GSocketConnection *stream,
-                                 connection_key key) const
+void connection_acceptor::watch_peer(GSocketConnection *stream,
+                                     connection_key key) const
 {
     auto const socket = g_socket_get_fd(g_socket_connection_get_socket(stream));
     epoll_event event{};
@@ -228,7 +229,7 @@
     epoll_ctl(epoll_, EPOLL_CTL_ADD, socket, &event);
 }
 
-void connection_gate::read_peer_events()
+void connection_acceptor::read_peer_events()
 {
     constexpr int max_events = 64;
     std::array<epoll_event, max_events> events{};
@@ -251,7 +252,7 @@
                     });
 }
 
-void connection_gate::set_deadline(connection_key key, duration time)
+void connection_acceptor::set_deadline(connection_key key, duration time)
 {
     auto const found = connections_.find(key);
     if (found != connections_.end())
@@ -260,7 +261,7 @@
     }
 }
 
-void connection_gate::clear_deadline(connection_key key)
+void connection_acceptor::clear_deadline(connection_key key)
 {
     auto const found = connections_.find(key);
     if (found != connections_.end())
@@ -269,7 +270,7 @@
     }
 }
 
-void connection_gate::shut_down(connection_key key)
+void connection_acceptor::shut_down(connection_key key)
 {
     auto const found = connections_.find(key);
     if (found != connections_.end())
@@ -279,13 +280,13 @@
     }
 }
 
-bool connection_gate::peer_closed(connection_key key) const
+bool connection_acceptor::peer_closed(connection_key key) const
 {
     auto const found = connections_.find(key);
     return found != connections_.end() && found->second.peer_closed;
 }
 
-void connection_gate::shut_down_expired()
+void connection_acceptor::shut_down_expired()
 {
     auto const now = daemon_loop::clock_now();
     std::vector<connection_key> expired;
@@ -300,7 +301,7 @@
                           [this](connection_key key) { shut_down(key); });
 }
 
-void connection_gate::remove_connection(GObject *stream)
+void connection_acceptor::remove_connection(GObject *stream)
 {
     auto const found = by_stream_.find(stream);
     if (found != by_stream_.end())
--- a/src/connection_gate.hpp
+++ b/src/connection_acceptor.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_CONNECTION_GATE_HPP
-#define AGATELEDGE_CONNECTION_GATE_HPP
+#ifndef AGATELEDGE_CONNECTION_ACCEPTOR_HPP
+#define AGATELEDGE_CONNECTION_ACCEPTOR_HPP
 
 #include "gobject_ptr.hpp"
 #include "settings.hpp"
@@ -21,7 +21,7 @@
 /// Accepts the connections of one listener, adds TLS and passes them to a
 /// `SoupServer`. Limits their number, shuts down those that miss a deadline,
 /// and reports when a peer has closed its side.
-class connection_gate
+class connection_acceptor
 {
 public:
     /// Identifies an open connection; it is the remote address object that
@@ -30,10 +30,10 @@
 
     /// @param server receives the connections; must outlive this object
     /// @param limits maximum number of connections and their timeouts
-    connection_gate(SoupServer *server, listener_limits limits);
-    ~connection_gate();
-    connection_gate(connection_gate const &) = delete;
-    connection_gate &operator=(connection_gate const &) = delete;
+    connection_acceptor(SoupServer *server, listener_limits limits);
+    ~connection_acceptor();
+    connection_acceptor(connection_acceptor const &) = delete;
+    connection_acceptor &operator=(connection_acceptor const &) = delete;
 
     /// Starts listening.
     ///
--- a/src/cost_table.hpp
+++ b/src/cost_table.hpp
@@ -58,7 +58,7 @@
     instant last_sample_at{};
     std::deque<local_load> history;
     /// Share of the prompt tokens that the prefix cache held.
-    double hit_share = 0;
+    double prefix_hit_ratio = 0;
 };
 
 /// Learned output length of one class.
--- a/src/daemon_loop.cpp
+++ b/src/daemon_loop.cpp
@@ -122,15 +122,15 @@
     for_each_item(out.peer_calls, handlers.call_peer);
     for_each_item(out.configuration_fetches, handlers.fetch_configuration);
     for_each_item(out.operator_replies, handlers.reply_to_operator);
-    for_each_item(out.relay_answers, handlers.answer_relay);
-    for_each_item(out.relay_cancels, handlers.cancel_relay);
-    for_each_item(out.relay_calls, handlers.call_instance);
+    for_each_item(out.proxy_answers, handlers.answer_proxied_request);
+    for_each_item(out.proxy_cancels, handlers.cancel_proxied_request);
+    for_each_item(out.proxy_calls, handlers.call_instance);
     for_each_item(out.kv_releases, handlers.release_kv);
     for_each_item(out.cache_reads, handlers.read_cache);
     for_each_item(out.row_reads, handlers.read_rows);
     for_each_item(out.daemon_row_writes, handlers.write_daemon_row);
     for_each_item(out.peer_load_reports, handlers.send_peer_load);
-    if (out.stop_ready && handlers.stop)
+    if (out.shutdown_complete && handlers.stop)
     {
         handlers.stop();
     }
--- a/src/daemon_loop.hpp
+++ b/src/daemon_loop.hpp
@@ -26,9 +26,9 @@
     std::function<void(peer_call const &)> call_peer;
     std::function<void(configuration_fetch const &)> fetch_configuration;
     std::function<void(operator_reply const &)> reply_to_operator;
-    std::function<void(relay_answer const &)> answer_relay;
-    std::function<void(relay_cancel const &)> cancel_relay;
-    std::function<void(relay_call const &)> call_instance;
+    std::function<void(proxy_answer const &)> answer_proxied_request;
+    std::function<void(proxy_cancel const &)> cancel_proxied_request;
+    std::function<void(proxy_call const &)> call_instance;
     std::function<void(kv_release const &)> release_kv;
     std::function<void(cache_read const &)> read_cache;
     std::function<void(row_read const &)> read_rows;
--- a/src/daemon_process.cpp
+++ b/src/daemon_process.cpp
@@ -60,11 +60,11 @@
     { engines_.send_order(call); };
     handlers.reply_to_operator = [this](operator_reply const &answer)
     { operators_.reply(answer); };
-    handlers.stop = [this] { stop_ready_ = true; };
-    callers_.on_hold = [this](std::string const &key, bool paused)
+    handlers.stop = [this] { shutdown_complete_ = true; };
+    callers_.on_backpressure = [this](std::string const &key, bool paused)
     { engines_.pause_stream(key, paused); };
-    engines_.is_held = [this](std::string const &key)
-    { return callers_.is_held(key); };
+    engines_.is_paused = [this](std::string const &key)
+    { return callers_.is_paused(key); };
 }
 
 void daemon_process::install_peer_handlers()
@@ -132,7 +132,7 @@
 absl::Status daemon_process::reload()
 {
     auto keys = load_keys();
-    auto certificate = callers_.gate().reload_certificate();
+    auto certificate = callers_.acceptor().reload_certificate();
     auto status = keys.ok() ? certificate : keys;
     if (!status.ok())
     {
@@ -151,15 +151,15 @@
         return;
     }
     loop_.input().shutdown = true;
-    shutdown_.begin([this]
-                    { return stop_ready_ && callers_.open_exchanges() == 0; },
-                    [this]
-                    {
-                        if (on_stopped)
-                        {
-                            on_stopped();
-                        }
-                    });
+    shutdown_.begin(
+        [this] { return shutdown_complete_ && callers_.open_exchanges() == 0; },
+        [this]
+        {
+            if (on_stopped)
+            {
+                on_stopped();
+            }
+        });
 }
 
 } // namespace agateledge
--- a/src/daemon_process.hpp
+++ b/src/daemon_process.hpp
@@ -94,7 +94,7 @@
     operator_listener operators_;
     shutdown_wait shutdown_;
     /// True once the tick has reported that the shutdown is complete.
-    bool stop_ready_ = false;
+    bool shutdown_complete_ = false;
 };
 
 } // namespace agateledge
--- a/src/decision_hooks.hpp
+++ b/src/decision_hooks.hpp
@@ -28,13 +28,13 @@
     std::function<bool(world &, engine_order const &)> order;
     /// Decides whether this daemon may plan for a data centre, in place of the
     /// lease table.
-    std::function<bool(world const &, std::string const &)> plans_for;
+    std::function<bool(world const &, std::string const &)> may_plan_for;
     /// Number of daemons that share the load, in place of the peer table's
     /// count; 0 for none.
     int live_daemons = 0;
     /// Sends requests in order of arrival and refuses none, as a plain load
     /// balancer does.
-    bool plain_queue = false;
+    bool fifo_queue = false;
 };
 
 } // namespace agateledge
--- a/src/describe_effects.cpp
+++ b/src/describe_effects.cpp
@@ -28,7 +28,7 @@
         return 0;
     }
     auto const &state = w.engines.at(*index);
-    return state.own_requests + state.peer_requests;
+    return state.local_requests + state.peer_requests;
 }
 
 std::string describe(std::string_view kind, std::string const &name,
--- a/src/dispatch_requests.cpp
+++ b/src/dispatch_requests.cpp
@@ -1,9 +1,9 @@
 #include "dispatch_requests.hpp"
 
-#include "admit_requests.hpp"
 #include "apply_configuration.hpp"
 #include "claim_calls.hpp"
 #include "hedge_calls.hpp"
+#include "latest_start.hpp"
 #include "request_lifecycle.hpp"
 #include "retry_requests.hpp"
 #include "select_endpoint.hpp"
@@ -161,7 +161,7 @@
     {
         return send_to_engine(w, request);
     }
-    if (asks_for_outcome(request.arrival))
+    if (is_outcome_query(request.arrival))
     {
         begin_outcome_query(w, request);
         return true;
@@ -175,7 +175,7 @@
     auto const &kind = request.kind;
     bool const started =
         request.accepted || request.attempts > 0 || !request.arrival.idempotent;
-    if (!started && !w.hooks.plain_queue)
+    if (!started && !w.hooks.fifo_queue)
     {
         return latest_start(w, request);
     }
@@ -186,7 +186,7 @@
 
 instant rank_of(world const &w, request_state const &request)
 {
-    auto const level = w.hooks.plain_queue ? 0 : request.kind.priority;
+    auto const level = w.hooks.fifo_queue ? 0 : request.kind.priority;
     return request.arrived_at + ageing_per_priority * level;
 }
 
--- a/src/judge_instances.cpp
+++ b/src/eject_instances.cpp
@@ -1,6 +1,6 @@
-#include "judge_instances.hpp"
+#include "eject_instances.hpp"
 
-#include "log_relay.hpp"
+#include "log_proxied_request.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -36,7 +36,7 @@
 std::map<std::string, service_health> sum_by_service(world const &w)
 {
     std::map<std::string, service_health> out;
-    for (auto const &[id, instance] : w.relay.instances.all())
+    for (auto const &[id, instance] : w.proxy.instances.all())
     {
         auto const results = instance.health.results_at(w.now);
         auto &sum = out[instance.definition.service];
@@ -68,29 +68,30 @@
                    duration(longest_pause));
     health.ejected_until = w.now + health.ejection_time;
     ++sum.ejected;
-    log_relay(w, log_level::warning, "instance_avoided",
-              {{"instance", instance.definition.id},
-               {"service", instance.definition.service},
-               {"failed", std::to_string(instance_results.failed)},
-               {"succeeded", std::to_string(instance_results.succeeded)},
-               {"pause_ms", milliseconds_text(health.ejection_time)}});
+    log_proxied_request(
+        w, log_level::warning, "instance_avoided",
+        {{"instance", instance.definition.id},
+         {"service", instance.definition.service},
+         {"failed", std::to_string(instance_results.failed)},
+         {"succeeded", std::to_string(instance_results.succeeded)},
+         {"pause_ms", milliseconds_text(health.ejection_time)}});
     // Only calls after the ejection count for the next one.
     health.results = {};
 }
 
 } // namespace
 
-void judge_instances(world &w)
+void eject_instances(world &w)
 {
-    auto &relay = w.relay;
-    bool const any_event = !w.in.relay_events.empty();
-    if (!any_event || relay.next_health_check > w.now)
+    auto &proxy = w.proxy;
+    bool const any_event = !w.in.proxy_events.empty();
+    if (!any_event || proxy.next_health_check > w.now)
     {
         return;
     }
-    relay.next_health_check = w.now + check_period;
+    proxy.next_health_check = w.now + check_period;
     auto sums = sum_by_service(w);
-    for (auto &[id, instance] : relay.instances.all())
+    for (auto &[id, instance] : proxy.instances.all())
     {
         eject_if_failing(w, instance, sums[instance.definition.service]);
     }
--- a/src/judge_instances.hpp
+++ b/src/eject_instances.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_JUDGE_INSTANCES_HPP
-#define AGATELEDGE_JUDGE_INSTANCES_HPP
+#ifndef AGATELEDGE_EJECT_INSTANCES_HPP
+#define AGATELEDGE_EJECT_INSTANCES_HPP
 
 namespace agateledge
 {
@@ -11,7 +11,7 @@
 /// service are ejected at the same time.
 ///
 /// @param w state of the daemon
-void judge_instances(world &w);
+void eject_instances(world &w);
 
 } // namespace agateledge
 
--- a/src/endpoint_table.hpp
+++ b/src/endpoint_table.hpp
@@ -19,7 +19,7 @@
     /// False once the configuration no longer lists the endpoint.
     bool configured = true;
     /// Calls that this daemon has open on the endpoint.
-    int own_requests = 0;
+    int local_requests = 0;
     /// True when the platform lists the endpoint's host as leaving.
     bool leaving = false;
 
--- a/src/engine_client.cpp
+++ b/src/engine_client.cpp
@@ -90,7 +90,7 @@
     streams_.insert_or_assign(call.attempt, item);
     attempts_by_key_.insert_or_assign(call.stream_key, call.attempt);
     item->call = http_.open(request, std::move(handlers));
-    if (is_held && is_held(call.stream_key))
+    if (is_paused && is_paused(call.stream_key))
     {
         item->call->pause();
     }
--- a/src/engine_client.hpp
+++ b/src/engine_client.hpp
@@ -46,7 +46,7 @@
 
     /// @return true while the caller that reads this stream has stalled;
     ///         called when a stream opens
-    std::function<bool(std::string const &stream_key)> is_held;
+    std::function<bool(std::string const &stream_key)> is_paused;
 
     std::size_t open_streams() const { return streams_.size(); }
 
--- a/src/engine_poller.cpp
+++ b/src/engine_poller.cpp
@@ -110,7 +110,7 @@
         }
         auto const age = now - cursor.polled_at;
         auto const weighted_age =
-            engine.own_requests > 0 ? age * open_work_weight : age;
+            engine.local_requests > 0 ? age * open_work_weight : age;
         if (age >= min_poll_interval && weighted_age >= max_weighted_age)
         {
             max_weighted_age = weighted_age;
@@ -122,8 +122,9 @@
 
 void engine_poller::charge_poll(std::size_t reply_bytes)
 {
-    byte_budget_.force(daemon_loop::clock_now(),
-                       static_cast<double>(header_bytes + reply_bytes));
+    byte_budget_.consume_with_debt(
+        daemon_loop::clock_now(),
+        static_cast<double>(header_bytes + reply_bytes));
 }
 
 void engine_poller::poll_load(engine_definition const &engine)
--- a/src/engine_table.hpp
+++ b/src/engine_table.hpp
@@ -22,9 +22,9 @@
     /// False once the configuration no longer lists the engine.
     bool configured = true;
     /// Work that this daemon has open on the engine.
-    int own_requests = 0;
-    int own_prefill_tokens = 0;
-    int own_decode_requests = 0;
+    int local_requests = 0;
+    int local_prefill_tokens = 0;
+    int local_decode_requests = 0;
     std::int64_t local_kv_tokens = 0;
     /// Work that peers reported open on the engine.
     int peer_requests = 0;
--- a/src/estimate_load.cpp
+++ b/src/estimate_load.cpp
@@ -67,8 +67,8 @@
         engine.peer_prefill_tokens,
         report_weight * out.prefill_tokens +
             (1 - report_weight) * role.mean_peer_prefill_tokens);
-    out.requests += engine.own_requests;
-    out.prefill_tokens += engine.own_prefill_tokens;
+    out.requests += engine.local_requests;
+    out.prefill_tokens += engine.local_prefill_tokens;
     out.kv_tokens += static_cast<double>(engine.local_kv_tokens);
     return out;
 }
--- a/src/exchange_loads.cpp
+++ b/src/exchange_loads.cpp
@@ -42,14 +42,14 @@
 
 duration report_interval(world const &w)
 {
-    return fleet_interval(w.relay.sharing_daemons(),
+    return fleet_interval(w.proxy.effective_fleet_size(),
                           max_daemons_at_min_interval, min_report_interval,
                           max_report_interval);
 }
 
 bool is_mesh(world const &w)
 {
-    return w.relay.daemons.size() <= max_mesh_daemons;
+    return w.proxy.daemons.size() <= max_mesh_daemons;
 }
 
 /// @return name of the daemon that is the hub of a data centre; empty when no
@@ -67,7 +67,7 @@
             highest = weight;
         }
     };
-    for (auto const &[name, peer] : w.relay.daemons)
+    for (auto const &[name, peer] : w.proxy.daemons)
     {
         if (peer.data_centre == data_centre)
         {
@@ -84,7 +84,7 @@
 std::vector<std::string> remote_hubs(world const &w)
 {
     std::set<std::string> data_centres;
-    for (auto const &[name, peer] : w.relay.daemons)
+    for (auto const &[name, peer] : w.proxy.daemons)
     {
         if (peer.data_centre != w.identity.data_centre)
         {
@@ -101,7 +101,7 @@
 std::vector<engine_load> local_loads(world const &w)
 {
     std::vector<engine_load> out;
-    for (auto const &[id, instance] : w.relay.instances.all())
+    for (auto const &[id, instance] : w.proxy.instances.all())
     {
         if (!instance.open_calls.empty())
         {
@@ -153,7 +153,7 @@
 loads_by_engine sum_of_reports(world const &w, load_scope scope)
 {
     std::map<std::string, received_report const *> newest;
-    for (auto const &[sender, received] : w.relay.load.heard)
+    for (auto const &[sender, received] : w.proxy.load.received_reports)
     {
         if (received.report.scope != scope)
         {
@@ -194,45 +194,45 @@
         return sum;
     }
     sum = sum_of_reports(w, load_scope::fleet);
-    subtract(sum, w.relay.load.last_sent);
+    subtract(sum, w.proxy.load.last_sent);
     return sum;
 }
 
 void accept_report(world &w, peer_load_report const &report)
 {
-    auto const peer = w.relay.daemons.find(report.sender);
-    bool const known = peer != w.relay.daemons.end() &&
+    auto const peer = w.proxy.daemons.find(report.sender);
+    bool const known = peer != w.proxy.daemons.end() &&
                        peer->second.data_centre == report.data_centre;
     if (!known)
     {
-        ++w.relay.metrics.load_reports["unknown_sender"];
+        ++w.proxy.metrics.load_reports["unknown_sender"];
         return;
     }
-    auto &received = w.relay.load.heard[report.sender];
+    auto &received = w.proxy.load.received_reports[report.sender];
     auto const order_of = [](peer_load_report const &item)
     { return std::pair(item.incarnation, item.sequence); };
     if (order_of(report) <= order_of(received.report))
     {
-        ++w.relay.metrics.load_reports["out_of_order"];
+        ++w.proxy.metrics.load_reports["out_of_order"];
         return;
     }
-    ++w.relay.metrics.load_reports["accepted"];
+    ++w.proxy.metrics.load_reports["accepted"];
     received = {report, w.now};
-    w.relay.load.changed = true;
+    w.proxy.load.changed = true;
 }
 
 void remove_expired_reports(world &w)
 {
-    auto &load = w.relay.load;
+    auto &load = w.proxy.load;
     auto const dropped = std::erase_if(
-        load.heard, [&w](auto const &item)
+        load.received_reports, [&w](auto const &item)
         { return w.now - item.second.received_at > report_lifetime; });
     load.changed |= dropped > 0;
 }
 
 void update_remote_loads(world &w)
 {
-    auto &load = w.relay.load;
+    auto &load = w.proxy.load;
     if (!load.changed)
     {
         return;
@@ -245,12 +245,12 @@
     load.changed = false;
     load.next_sum = w.now + sum_interval;
     auto const others = remote_loads(w);
-    for (auto &[id, instance] : w.relay.instances.all())
+    for (auto &[id, instance] : w.proxy.instances.all())
     {
         auto const found = others.find(instance.load_key);
         bool const known = found != others.end();
-        instance.others_unread_tokens = known ? found->second.unread_tokens : 0;
-        instance.others_open_calls = known ? found->second.open_calls : 0;
+        instance.peer_unread_tokens = known ? found->second.unread_tokens : 0;
+        instance.peer_open_calls = known ? found->second.open_calls : 0;
     }
 }
 
@@ -261,8 +261,8 @@
     peer_load_send out;
     for (auto const &name : names)
     {
-        auto const peer = w.relay.daemons.find(name);
-        if (peer != w.relay.daemons.end() && !peer->second.address.empty())
+        auto const peer = w.proxy.daemons.find(name);
+        if (peer != w.proxy.daemons.end() && !peer->second.address.empty())
         {
             out.to.push_back(peer->second.address);
         }
@@ -275,7 +275,7 @@
     report.sender = w.identity.name;
     report.data_centre = w.identity.data_centre;
     report.incarnation = w.identity.incarnation.value();
-    report.sequence = ++w.relay.load.sequence;
+    report.sequence = ++w.proxy.load.sequence;
     report.scope = scope;
     report.loads = std::move(loads);
     out.report = std::make_shared<peer_load_report const>(std::move(report));
@@ -287,7 +287,7 @@
 std::vector<std::string> peers_where(world const &w, Predicate predicate)
 {
     std::vector<std::string> out;
-    for (auto const &[name, peer] : w.relay.daemons)
+    for (auto const &[name, peer] : w.proxy.daemons)
     {
         if (name != w.identity.name && predicate(peer))
         {
@@ -314,7 +314,7 @@
 
 void send_due_report(world &w)
 {
-    auto &load = w.relay.load;
+    auto &load = w.proxy.load;
     if (load.next_report > w.now)
     {
         wake_at(w, load.next_report);
--- a/src/exchange_server.hpp
+++ b/src/exchange_server.hpp
@@ -1,7 +1,7 @@
 #ifndef AGATELEDGE_EXCHANGE_SERVER_HPP
 #define AGATELEDGE_EXCHANGE_SERVER_HPP
 
-#include "connection_gate.hpp"
+#include "connection_acceptor.hpp"
 #include "gobject_ptr.hpp"
 #include "server_message.hpp"
 #include "settings.hpp"
@@ -52,12 +52,13 @@
     exchange_server(char const *server_header, listener_limits limits)
         : server_(soup_server_new("server-header", server_header, "raw-paths",
                                   TRUE, nullptr)),
-          gate_(server_.get(), limits)
+          acceptor_(server_.get(), limits)
     {
         g_signal_connect(server_.get(), "request-started", G_CALLBACK(started),
                          this);
         soup_server_add_handler(server_.get(), nullptr, handle, this, nullptr);
-        gate_.on_peer_closed = [this](connection_gate::connection_key key)
+        acceptor_.on_peer_closed =
+            [this](connection_acceptor::connection_key key)
         { peer_closed(key); };
     }
 
@@ -75,9 +76,9 @@
 
     hooks handlers;
 
-    connection_gate &gate() { return gate_; }
+    connection_acceptor &acceptor() { return acceptor_; }
 
-    static connection_gate::connection_key
+    static connection_acceptor::connection_key
     connection_of(Exchange const &exchange)
     {
         return soup_server_message_get_remote_address(exchange.message());
@@ -103,7 +104,7 @@
         }
         if (exchange.body_bytes > max_bytes * discarded_body_factor)
         {
-            gate_.shut_down(connection_of(exchange));
+            acceptor_.shut_down(connection_of(exchange));
         }
     }
 
@@ -196,7 +197,7 @@
         exchanges_.erase(found);
     }
 
-    void peer_closed(connection_gate::connection_key key)
+    void peer_closed(connection_acceptor::connection_key key)
     {
         auto const found = by_connection_.find(key);
         auto *exchange =
@@ -208,10 +209,10 @@
     }
 
     gobject_ptr<SoupServer> server_;
-    connection_gate gate_;
+    connection_acceptor acceptor_;
     std::unordered_map<SoupServerMessage *, std::unique_ptr<Exchange>>
         exchanges_;
-    std::unordered_map<connection_gate::connection_key, SoupServerMessage *>
+    std::unordered_map<connection_acceptor::connection_key, SoupServerMessage *>
         by_connection_;
 };
 
--- a/src/expire_relays.hpp
+++ b/src/expire_proxied_requests.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_EXPIRE_RELAYS_HPP
-#define AGATELEDGE_EXPIRE_RELAYS_HPP
+#ifndef AGATELEDGE_EXPIRE_PROXIED_REQUESTS_HPP
+#define AGATELEDGE_EXPIRE_PROXIED_REQUESTS_HPP
 
 namespace agateledge
 {
@@ -10,7 +10,7 @@
 /// caller or the timeout of the route, whichever is earlier.
 ///
 /// @param w state of the daemon
-void expire_relays(world &w);
+void expire_proxied_requests(world &w);
 
 } // namespace agateledge
 
--- a/src/event_text.cpp
+++ b/src/extract_new_events.cpp
@@ -1,4 +1,4 @@
-#include "event_text.hpp"
+#include "extract_new_events.hpp"
 
 #include <charconv>
 #include <cstdint>
@@ -75,7 +75,7 @@
 
 } // namespace
 
-std::string take_new_events(std::string &buffer, std::string &last_id)
+std::string extract_new_events(std::string &buffer, std::string &last_id)
 {
     std::string out;
     std::string_view rest = buffer;
--- a/src/event_text.hpp
+++ b/src/extract_new_events.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_EVENT_TEXT_HPP
-#define AGATELEDGE_EVENT_TEXT_HPP
+#ifndef AGATELEDGE_EXTRACT_NEW_EVENTS_HPP
+#define AGATELEDGE_EXTRACT_NEW_EVENTS_HPP
 
 #include <string>
 
@@ -13,7 +13,7 @@
 /// @param buffer received bytes; an incomplete event stays in it
 /// @param last_id id of the last event that was returned; updated
 /// @return unchanged text of the new events
-std::string take_new_events(std::string &buffer, std::string &last_id);
+std::string extract_new_events(std::string &buffer, std::string &last_id);
 
 } // namespace agateledge
 
--- a/src/forward_answers.cpp
+++ b/src/forward_answers.cpp
@@ -18,7 +18,7 @@
 void release_prefill_load(world &w, attempt_state &attempt)
 {
     auto &engine = w.engines.at(*attempt.engine);
-    engine.own_prefill_tokens -= attempt.counted_prefill_tokens;
+    engine.local_prefill_tokens -= attempt.counted_prefill_tokens;
     attempt.counted_prefill_tokens = 0;
 }
 
--- a/src/heartbeat.hpp
+++ b/src/heartbeat.hpp
@@ -55,7 +55,7 @@
     /// lower number than the last one is dropped.
     std::uint64_t sequence = 0;
     /// Sequence number of the heartbeat that this one replies to; 0 for none.
-    std::uint64_t answers = 0;
+    std::uint64_t answered_sequence = 0;
     revision_number revision;
     /// Time since the sender, or a daemon whose confirmation it received, read
     /// the current revision in the table service, in microseconds; negative for
--- a/src/inbox.hpp
+++ b/src/inbox.hpp
@@ -6,7 +6,7 @@
 #include "heartbeat.hpp"
 #include "ids.hpp"
 #include "peer_load_report.hpp"
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 #include "row_messages.hpp"
 #include "shared_text.hpp"
 #include "table_call.hpp"
@@ -66,7 +66,7 @@
 };
 
 /// The caller closed its connection.
-struct caller_departure
+struct caller_disconnect
 {
     request_number request;
 };
@@ -202,7 +202,7 @@
 struct operator_request
 {
     operator_call_number call;
-    std::string who;
+    std::string operator_name;
     std::string text;
     /// Seconds since the Unix epoch, for the history.
     std::int64_t received_at = 0;
@@ -212,7 +212,7 @@
 struct inbox
 {
     std::vector<request_arrival> arrivals;
-    std::vector<caller_departure> departures;
+    std::vector<caller_disconnect> caller_disconnects;
     std::vector<engine_event> engine_events;
     std::vector<service_reply> service_replies;
     std::vector<load_report> load_reports;
@@ -224,9 +224,9 @@
     std::vector<configuration_document> configuration_documents;
     std::vector<order_reply> order_replies;
     std::vector<operator_request> operator_requests;
-    std::vector<relay_arrival> relay_arrivals;
-    std::vector<relay_departure> relay_departures;
-    std::vector<relay_event> relay_events;
+    std::vector<proxy_arrival> proxy_arrivals;
+    std::vector<proxy_disconnect> proxy_disconnects;
+    std::vector<proxy_event> proxy_events;
     std::vector<prefill_result> prefill_results;
     std::vector<cache_read_reply> cache_read_replies;
     std::vector<row_read_reply> row_read_replies;
--- a/src/instance_client.cpp
+++ b/src/instance_client.cpp
@@ -2,7 +2,7 @@
 
 #include "daemon_loop.hpp"
 #include "http_client.hpp"
-#include "relay_codec.hpp"
+#include "proxy_codec.hpp"
 #include "soup_headers.hpp"
 
 #include <utility>
@@ -22,34 +22,34 @@
 /// Timeout of the release of a KV cache.
 constexpr duration release_timeout = seconds(1);
 
-relay_event_kind kind_of(http_outcome outcome)
+proxy_event_kind kind_of(http_outcome outcome)
 {
     switch (outcome)
     {
     case http_outcome::answered:
-        return relay_event_kind::finished;
+        return proxy_event_kind::finished;
     case http_outcome::failed_before_send:
-        return relay_event_kind::failed_before_send;
+        return proxy_event_kind::failed_before_send;
     case http_outcome::failed_after_send:
-        return relay_event_kind::failed_after_send;
+        return proxy_event_kind::failed_after_send;
     }
-    return relay_event_kind::failed_after_send;
+    return proxy_event_kind::failed_after_send;
 }
 
 } // namespace
 
 instance_client::instance_client(http_client &http, daemon_loop &loop,
-                                 relay_codec const &codec)
+                                 proxy_codec const &codec)
     : http_(http), loop_(loop), codec_(codec)
 {
 }
 
-void instance_client::call(relay_call const &call)
+void instance_client::call(proxy_call const &call)
 {
     auto request = codec_.encode_call(call);
     request.connect_timeout = call.connect_timeout;
     request.new_connection = true;
-    auto const shared = std::make_shared<relay_call const>(call);
+    auto const shared = std::make_shared<proxy_call const>(call);
     http_call_handlers handlers;
     handlers.on_head = [this, shared](int status, SoupMessageHeaders *headers)
     { handle_head(*shared, status, headers_from(headers)); };
@@ -67,7 +67,7 @@
     }
 }
 
-void instance_client::cancel(relay_cancel const &cancel)
+void instance_client::cancel(proxy_cancel const &cancel)
 {
     auto const found = open_.find(cancel.attempt);
     if (found != open_.end())
@@ -87,7 +87,7 @@
     http_.send(request, [](http_reply const &) {});
 }
 
-void instance_client::hold(request_number request, bool hold)
+void instance_client::set_paused(request_number request, bool hold)
 {
     auto const attempt = by_request_.find(request);
     if (attempt == by_request_.end())
@@ -103,41 +103,41 @@
     http->resume();
 }
 
-void instance_client::handle_head(relay_call const &call, int status,
+void instance_client::handle_head(proxy_call const &call, int status,
                                   header_list headers)
 {
     open_.at(call.attempt).status = status;
     auto head = codec_.decode_head(call, {status, std::move(headers)});
-    bool const prefill_succeeded = call.stage == relay_stage::prefill &&
-                                   status == http_ok && !head.foreign &&
-                                   !head.not_run;
+    bool const prefill_succeeded = call.stage == proxy_stage::prefill &&
+                                   status == http_ok &&
+                                   !head.mismatched_attempt && !head.not_run;
     if (prefill_succeeded)
     {
         return;
     }
-    relay_event event;
+    proxy_event event;
     event.attempt = call.attempt;
-    event.kind = relay_event_kind::head;
-    event.head = std::make_shared<relay_reply_head const>(std::move(head));
-    loop_.input().relay_events.push_back(std::move(event));
+    event.kind = proxy_event_kind::head;
+    event.head = std::make_shared<proxy_reply_head const>(std::move(head));
+    loop_.input().proxy_events.push_back(std::move(event));
 }
 
-void instance_client::handle_bytes(relay_call const &call,
+void instance_client::handle_bytes(proxy_call const &call,
                                    std::string_view bytes)
 {
-    if (call.stage == relay_stage::prefill)
+    if (call.stage == proxy_stage::prefill)
     {
         handle_prefill_bytes(call, bytes);
         return;
     }
-    relay_event event;
+    proxy_event event;
     event.attempt = call.attempt;
-    event.kind = relay_event_kind::bytes;
+    event.kind = proxy_event_kind::bytes;
     event.bytes = std::string(bytes);
-    loop_.input().relay_events.push_back(std::move(event));
+    loop_.input().proxy_events.push_back(std::move(event));
 }
 
-void instance_client::handle_prefill_bytes(relay_call const &call,
+void instance_client::handle_prefill_bytes(proxy_call const &call,
                                            std::string_view bytes)
 {
     auto &open = open_.at(call.attempt);
@@ -150,10 +150,10 @@
     handle_end(call, http_outcome::failed_after_send);
 }
 
-void instance_client::handle_end(relay_call const &call, http_outcome outcome)
+void instance_client::handle_end(proxy_call const &call, http_outcome outcome)
 {
     auto const &open = open_.at(call.attempt);
-    bool const prefill_succeeded = call.stage == relay_stage::prefill &&
+    bool const prefill_succeeded = call.stage == proxy_stage::prefill &&
                                    outcome == http_outcome::answered &&
                                    open.status == http_ok;
     if (prefill_succeeded)
@@ -163,10 +163,10 @@
     }
     else
     {
-        relay_event event;
+        proxy_event event;
         event.attempt = call.attempt;
         event.kind = kind_of(outcome);
-        loop_.input().relay_events.push_back(std::move(event));
+        loop_.input().proxy_events.push_back(std::move(event));
     }
     remove_call(call.attempt);
 }
--- a/src/instance_client.hpp
+++ b/src/instance_client.hpp
@@ -2,7 +2,7 @@
 #define AGATELEDGE_INSTANCE_CLIENT_HPP
 
 #include "ids.hpp"
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 
 #include <functional>
 #include <memory>
@@ -16,7 +16,7 @@
 class http_call;
 class http_client;
 enum class http_outcome;
-struct relay_codec;
+struct proxy_codec;
 
 /// Client for proxied calls to engines and endpoints. Each call uses a new
 /// connection: if it cannot be established, the request was certainly not
@@ -29,13 +29,13 @@
     /// @param loop receives the events of the calls; must outlive this object
     /// @param codec encodes calls and decodes replies; must outlive this object
     instance_client(http_client &http, daemon_loop &loop,
-                    relay_codec const &codec);
+                    proxy_codec const &codec);
 
     /// Starts a call.
-    void call(relay_call const &call);
+    void call(proxy_call const &call);
 
     /// Cancels a call; without effect when it has ended.
-    void cancel(relay_cancel const &cancel);
+    void cancel(proxy_cancel const &cancel);
 
     /// Frees a KV cache at an engine; errors are ignored.
     void release(kv_release const &release);
@@ -43,7 +43,7 @@
     /// Flow control: pauses or resumes reading the reply to a request's call.
     ///
     /// @param hold true to pause, false to resume
-    void hold(request_number request, bool hold);
+    void set_paused(request_number request, bool hold);
 
 private:
     struct open_call
@@ -55,15 +55,15 @@
         int status = 0;
     };
 
-    void handle_head(relay_call const &call, int status, header_list headers);
-    void handle_bytes(relay_call const &call, std::string_view bytes);
-    void handle_prefill_bytes(relay_call const &call, std::string_view bytes);
-    void handle_end(relay_call const &call, http_outcome outcome);
+    void handle_head(proxy_call const &call, int status, header_list headers);
+    void handle_bytes(proxy_call const &call, std::string_view bytes);
+    void handle_prefill_bytes(proxy_call const &call, std::string_view bytes);
+    void handle_end(proxy_call const &call, http_outcome outcome);
     void remove_call(attempt_number attempt);
 
     http_client &http_;
     daemon_loop &loop_;
-    relay_codec const &codec_;
+    proxy_codec const &codec_;
     std::unordered_map<attempt_number, open_call> open_;
     std::unordered_map<request_number, attempt_number> by_request_;
 };
--- a/src/instance_table.cpp
+++ b/src/instance_table.cpp
@@ -58,7 +58,7 @@
     auto &state = entry->second;
     state.definition = definition;
     state.row_version = row_version;
-    state.lapses_at.reset();
+    state.expires_at.reset();
     state.address_reused = false;
     if (added)
     {
--- a/src/instance_table.hpp
+++ b/src/instance_table.hpp
@@ -68,7 +68,7 @@
     std::uint64_t row_version = 0;
     /// Set when the row disappeared around an outage of the store: the instance
     /// stays in use until this time unless the row is listed again.
-    std::optional<instant> lapses_at;
+    std::optional<instant> expires_at;
     /// Set when another instance replied from this address; reset when the row
     /// changes.
     bool address_reused = false;
@@ -80,8 +80,8 @@
     /// The engine's key in load reports; see `load_key_of`.
     std::uint64_t load_key = 0;
     /// Unread tokens and open calls of other daemons, from their last reports.
-    std::int64_t others_unread_tokens = 0;
-    std::size_t others_open_calls = 0;
+    std::int64_t peer_unread_tokens = 0;
+    std::size_t peer_open_calls = 0;
     /// Smoothed time by which replies exceeded their predictions.
     duration delay{};
     instant delay_seen_at{};
--- a/src/issue_orders.cpp
+++ b/src/issue_orders.cpp
@@ -2,10 +2,10 @@
 
 #include "apply_configuration.hpp"
 #include "backoff_delay.hpp"
-#include "call_table.hpp"
-#include "move_open_work.hpp"
-#include "order_targets.hpp"
+#include "meets_target.hpp"
+#include "reassign_open_work.hpp"
 #include "renew_leases.hpp"
+#include "send_table_call.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -62,7 +62,7 @@
 void set_step(world &w, order_state &state, order_step step)
 {
     state.step = step;
-    if (step == order_step::idle && !state.wanted)
+    if (step == order_step::idle && !state.requested)
     {
         w.orders.active.erase(state.engine);
     }
@@ -109,7 +109,7 @@
 void send(world &w, order_state &state, table_call call)
 {
     state.operation_sent_at = w.now;
-    state.operation = call_table(w, table_owner::order, std::move(call));
+    state.operation = send_table_call(w, table_owner::order, std::move(call));
 }
 
 void send_read(world &w, order_state &state)
@@ -153,7 +153,7 @@
     {
         return;
     }
-    auto const wanted = *std::exchange(state.wanted, std::nullopt);
+    auto const wanted = *std::exchange(state.requested, std::nullopt);
     auto const *engine = engine_of(w, state);
     if (engine == nullptr || !engine->configured || !engine->report ||
         meets_target(*engine->report, wanted))
@@ -162,22 +162,22 @@
         return;
     }
     state.record = {wanted};
-    state.record.tries = state.wanted_tries;
+    state.record.tries = state.requested_tries;
     auto &order = state.record.order;
     order.id = next_order_id(w);
     order.fencing = w.orders.fencing;
     order.expected_generation = engine->report->generation;
-    state.wanted = wanted;
+    state.requested = wanted;
     set_step(w, state, order_step::recording);
     send_record(w, state);
 }
 
 void begin_drain(world &w, order_state &state)
 {
-    state.wanted.reset();
+    state.requested.reset();
     state.drain_started.reset();
     state.last_sent.reset();
-    state.moved = false;
+    state.work_moved = false;
     state.accepted = false;
     set_step(w, state, order_step::draining);
 }
@@ -185,7 +185,7 @@
 void adopt_order(world &w, order_state &state)
 {
     state.record.order.fencing = w.orders.fencing;
-    state.wanted.reset();
+    state.requested.reset();
     log_order(w, state, "order_adopted");
     set_step(w, state, order_step::recording);
 }
@@ -233,8 +233,8 @@
     if (record.state == order_record_state::lost &&
         record.tries < max_orders_per_change)
     {
-        state.wanted = record.order;
-        state.wanted_tries = record.tries + 1;
+        state.requested = record.order;
+        state.requested_tries = record.tries + 1;
     }
     set_step(w, state, order_step::idle);
 }
@@ -355,10 +355,10 @@
 bool is_idle(world const &w, order_state const &state)
 {
     auto const *engine = engine_of(w, state);
-    return engine->own_requests == 0 && engine->peer_requests == 0 &&
+    return engine->local_requests == 0 && engine->peer_requests == 0 &&
            engine->report &&
            engine->report_measured_at >=
-               *state.drain_started + change_notice_time &&
+               *state.drain_started + change_notice_delay &&
            engine->report->running == 0 && engine->report->waiting == 0;
 }
 
@@ -373,10 +373,10 @@
         return;
     }
     auto const lasted = w.now - *state.drain_started;
-    if (lasted >= w.config.policy.drain_timeout && !state.moved)
+    if (lasted >= w.config.policy.drain_timeout && !state.work_moved)
     {
-        state.moved = true;
-        move_open_work(w, *w.engines.find(state.engine));
+        state.work_moved = true;
+        reassign_open_work(w, *w.engines.find(state.engine));
     }
     if (is_drained(w, state))
     {
@@ -403,9 +403,9 @@
 /// work again.
 void pause_order(world &w, order_state &state)
 {
-    state.wanted.reset();
+    state.requested.reset();
     state.drain_started.reset();
-    state.moved = false;
+    state.work_moved = false;
     if (state.step == order_step::recording)
     {
         state.step = order_step::reading;
@@ -485,7 +485,8 @@
     {
         return;
     }
-    auto const operation = call_table(w, table_owner::order, std::move(call));
+    auto const operation =
+        send_table_call(w, table_owner::order, std::move(call));
     for (auto const &engine : w.engines.all())
     {
         if (engine.definition.data_centre != w.identity.data_centre)
--- a/src/issue_orders.hpp
+++ b/src/issue_orders.hpp
@@ -27,7 +27,7 @@
 void refresh_changing(world &w, std::string const &engine);
 
 /// Time within which other daemons have received the notice of a change.
-inline constexpr duration change_notice_time = seconds(1);
+inline constexpr duration change_notice_delay = seconds(1);
 
 /// Age from which a notice of a change is neither forwarded nor accepted.
 inline constexpr duration change_notice_lifetime = seconds(5);
--- a/src/admit_requests.cpp
+++ b/src/latest_start.cpp
@@ -1,4 +1,4 @@
-#include "admit_requests.hpp"
+#include "latest_start.hpp"
 
 #include "predict_engine.hpp"
 #include "world.hpp"
--- a/src/learn_costs.cpp
+++ b/src/learn_costs.cpp
@@ -101,7 +101,7 @@
     if (prompt > 0)
     {
         constexpr double weight = 0.05;
-        auto &share = w.costs.engine(*attempt.engine).hit_share;
+        auto &share = w.costs.engine(*attempt.engine).prefix_hit_ratio;
         share += weight *
                  (static_cast<double>(event.cached_tokens) / prompt - share);
     }
@@ -200,8 +200,8 @@
     }
     auto const &engine = w.engines.at(*index);
     auto &history = w.costs.engine(*index).history;
-    history.push_back({w.now, engine.own_requests, engine.own_prefill_tokens,
-                       engine.local_kv_tokens});
+    history.push_back({w.now, engine.local_requests,
+                       engine.local_prefill_tokens, engine.local_kv_tokens});
     while (history.front().at + max_report_age < w.now)
     {
         history.pop_front();
--- a/src/limit_callers.cpp
+++ b/src/limit_callers.cpp
@@ -61,10 +61,10 @@
 
 void publish_demand(world &w)
 {
-    w.peers.own_demand.clear();
+    w.peers.local_demand.clear();
     for (auto const &[key, rate] : w.callers.rates)
     {
-        w.peers.own_demand.push_back(
+        w.peers.local_demand.push_back(
             {rate.caller, rate.class_name, rate.requests_per_second});
     }
 }
--- a/src/load_exchange.hpp
+++ b/src/load_exchange_state.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_LOAD_EXCHANGE_HPP
-#define AGATELEDGE_LOAD_EXCHANGE_HPP
+#ifndef AGATELEDGE_LOAD_EXCHANGE_STATE_HPP
+#define AGATELEDGE_LOAD_EXCHANGE_STATE_HPP
 
 #include "peer_load_report.hpp"
 #include "time.hpp"
@@ -20,10 +20,10 @@
 };
 
 /// State of the exchange of engine loads with the other daemons.
-struct load_exchange
+struct load_exchange_state
 {
     /// Newest report of each sender.
-    std::map<std::string, received_report> heard;
+    std::map<std::string, received_report> received_reports;
     std::uint64_t sequence = 0;
     instant next_report{};
     /// This daemon's loads in its last report. They are contained in the sum of
--- a/src/log_relay.cpp
+++ b/src/log_proxied_request.cpp
@@ -1,4 +1,4 @@
-#include "log_relay.hpp"
+#include "log_proxied_request.hpp"
 
 #include "world.hpp"
 
@@ -18,7 +18,7 @@
 /// calls; further entries are dropped.
 constexpr std::size_t max_trail_entries = 16;
 
-log_fields with_request_fields(world const &w, relay_state_entry const &request,
+log_fields with_request_fields(world const &w, proxied_request const &request,
                                log_fields fields)
 {
     log_fields all{
@@ -40,12 +40,13 @@
     return {text.data(), static_cast<std::size_t>(size)};
 }
 
-void log_relay(world &w, log_level level, std::string event, log_fields fields)
+void log_proxied_request(world &w, log_level level, std::string event,
+                         log_fields fields)
 {
     w.out.log_entries.push_back({level, std::move(event), std::move(fields)});
 }
 
-void buffer_request_log(world &w, relay_state_entry &request, std::string event,
+void buffer_request_log(world &w, proxied_request &request, std::string event,
                         log_fields fields)
 {
     if (request.trail.size() < max_trail_entries)
@@ -56,7 +57,7 @@
     }
 }
 
-void log_request_end(world &w, log_level level, relay_state_entry &request,
+void log_request_end(world &w, log_level level, proxied_request &request,
                      std::string event, log_fields fields, bool with_trail)
 {
     if (with_trail)
@@ -64,8 +65,8 @@
         std::ranges::move(std::exchange(request.trail, {}),
                           std::back_inserter(w.out.log_entries));
     }
-    log_relay(w, level, std::move(event),
-              with_request_fields(w, request, std::move(fields)));
+    log_proxied_request(w, level, std::move(event),
+                        with_request_fields(w, request, std::move(fields)));
 }
 
 } // namespace agateledge
--- a/src/log_relay.hpp
+++ b/src/log_proxied_request.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_LOG_RELAY_HPP
-#define AGATELEDGE_LOG_RELAY_HPP
+#ifndef AGATELEDGE_LOG_PROXIED_REQUEST_HPP
+#define AGATELEDGE_LOG_PROXIED_REQUEST_HPP
 
 #include "outbox.hpp"
 
@@ -10,7 +10,7 @@
 namespace agateledge
 {
 
-struct relay_state_entry;
+struct proxied_request;
 struct world;
 
 using log_fields = std::vector<std::pair<std::string, std::string>>;
@@ -18,11 +18,12 @@
 /// Writes a log entry on a change of the daemon's state.
 ///
 /// @param event stable name of the event; docs/OPERATIONS.md lists them
-void log_relay(world &w, log_level level, std::string event, log_fields fields);
+void log_proxied_request(world &w, log_level level, std::string event,
+                         log_fields fields);
 
 /// Buffers a log entry on one request, with its id, route and age. The entries
 /// of a request are written together by `log_request_end`.
-void buffer_request_log(world &w, relay_state_entry &request, std::string event,
+void buffer_request_log(world &w, proxied_request &request, std::string event,
                         log_fields fields);
 
 /// Logs the end of a request. Its buffered entries are written first or not at
@@ -30,7 +31,7 @@
 ///
 /// @param with_trail write the buffered entries, for a request that failed or
 ///        was late
-void log_request_end(world &w, log_level level, relay_state_entry &request,
+void log_request_end(world &w, log_level level, proxied_request &request,
                      std::string event, log_fields fields, bool with_trail);
 
 /// @return `value` in milliseconds with one decimal, for a log field
--- a/src/order_targets.cpp
+++ b/src/meets_target.cpp
@@ -1,4 +1,4 @@
-#include "order_targets.hpp"
+#include "meets_target.hpp"
 
 #include "engine_order.hpp"
 #include "inbox.hpp"
--- a/src/order_table.hpp
+++ b/src/order_table.hpp
@@ -36,8 +36,8 @@
     std::string engine;
     order_step step = order_step::reading;
     /// Requested change that is recorded next.
-    std::optional<engine_order> wanted;
-    int wanted_tries = 1;
+    std::optional<engine_order> requested;
+    int requested_tries = 1;
     /// Content of the row as last read or written, or as being written.
     order_record record;
     std::uint64_t row_version = 0;
@@ -49,7 +49,7 @@
     /// No other order is started before this time.
     instant quarantined_until{};
     std::optional<instant> drain_started;
-    bool moved = false;
+    bool work_moved = false;
     std::optional<instant> last_sent;
     bool accepted = false;
     int failures = 0;
@@ -63,10 +63,10 @@
     /// reports a higher one.
     std::uint64_t generation = 0;
     /// Time at which the first notice of the change was received.
-    instant first_heard{};
+    instant first_received_at{};
     /// Time at which the holder of the lease last stated the change.
-    instant heard{};
-    bool moved = false;
+    instant stated_at{};
+    bool work_moved = false;
 };
 
 /// Orders of the data centre whose lease this daemon holds, and notices of
--- a/src/outbox.hpp
+++ b/src/outbox.hpp
@@ -157,16 +157,16 @@
     std::vector<peer_call> peer_calls;
     std::vector<configuration_fetch> configuration_fetches;
     std::vector<operator_reply> operator_replies;
-    std::vector<relay_answer> relay_answers;
-    std::vector<relay_cancel> relay_cancels;
-    std::vector<relay_call> relay_calls;
+    std::vector<proxy_answer> proxy_answers;
+    std::vector<proxy_cancel> proxy_cancels;
+    std::vector<proxy_call> proxy_calls;
     std::vector<kv_release> kv_releases;
     std::vector<cache_read> cache_reads;
     std::vector<row_read> row_reads;
     std::vector<daemon_row_write> daemon_row_writes;
     std::vector<peer_load_send> peer_load_reports;
     /// True once the shutdown is complete and the process may exit.
-    bool stop_ready = false;
+    bool shutdown_complete = false;
 };
 
 } // namespace agateledge
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -119,7 +119,7 @@
     out.data_centre = in["data_centre"].asString();
     out.address = in["address"].asString();
     out.sequence = in["sequence"].asUInt64();
-    out.answers = in["answers"].asUInt64();
+    out.answered_sequence = in["answers"].asUInt64();
     out.revision = revision_number(in["revision"].asUInt64());
     out.revision_age_us = optional_age_from(in["revision_age_us"]);
     out.draining = in["draining"].asBool();
@@ -184,7 +184,7 @@
     out["data_centre"] = message.data_centre;
     out["address"] = message.address;
     out["sequence"] = Json::UInt64(message.sequence);
-    out["answers"] = Json::UInt64(message.answers);
+    out["answers"] = Json::UInt64(message.answered_sequence);
     out["revision"] = Json::UInt64(message.revision.value());
     out["revision_age_us"] = Json::Int64(message.revision_age_us);
     out["draining"] = message.draining;
--- a/src/peer_rpc_server.cpp
+++ b/src/peer_rpc_server.cpp
@@ -147,7 +147,7 @@
     }
     auto const sequence = message->sequence;
     loop_.input().heartbeats.push_back(*std::move(message));
-    out = reply_to(call, heartbeat_to_text(own_heartbeat(
+    out = reply_to(call, heartbeat_to_text(make_heartbeat(
                              state_, daemon_loop::clock_now(), sequence)));
 }
 
--- a/src/peer_table.hpp
+++ b/src/peer_table.hpp
@@ -41,12 +41,12 @@
     /// Sequence number of the last heartbeat of this incarnation.
     std::uint64_t sequence = 0;
     peer_condition condition = peer_condition::suspect;
-    std::optional<instant> heard_at;
+    std::optional<instant> last_heartbeat_at;
     std::optional<instant> called_at;
     /// Sequence number of the heartbeat that was sent at `called_at`.
     std::uint64_t called_sequence = 0;
     /// True when the last call failed and no heartbeat was received since.
-    bool failed = false;
+    bool last_call_failed = false;
     bool host_leaving = false;
     bool draining = false;
     /// True for a peer in the settings or in the platform's current list.
@@ -63,7 +63,7 @@
 public:
     std::map<std::string, peer_state> states;
     /// Demand at this daemon, sent with its heartbeats; set by `limit_callers`.
-    std::vector<caller_demand> own_demand;
+    std::vector<caller_demand> local_demand;
     std::uint64_t last_sequence = 0;
     instant next_round{};
     /// Byte budget of the calls to peers and their answers.
--- a/src/place_relays.cpp
+++ b/src/place_proxied_requests.cpp
@@ -1,8 +1,8 @@
-#include "place_relays.hpp"
+#include "place_proxied_requests.hpp"
 
 #include "choose_instance.hpp"
-#include "log_relay.hpp"
-#include "relay_lifecycle.hpp"
+#include "log_proxied_request.hpp"
+#include "proxy_lifecycle.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -33,12 +33,12 @@
 /// met; the time itself is derived from the excess of the predicted wait.
 constexpr duration min_retry_after = milliseconds(500);
 
-relay_call make_call(world const &w, relay_state_entry const &request,
+proxy_call make_call(world const &w, proxied_request const &request,
                      instance_state const &instance,
                      instance_choice const &choice, attempt_number attempt)
 {
     auto const remaining = request.expires_at - w.now;
-    relay_call call;
+    proxy_call call;
     call.attempt = attempt;
     call.request = request.number;
     call.content = request.content;
@@ -54,15 +54,15 @@
         call.priority =
             std::clamp(request.route->priority, 0, least_urgent_priority);
     }
-    if (request.kept)
+    if (request.retained_prefill)
     {
-        call.kv_source_address = request.kept->address;
-        call.kv_handle = request.kept->handle;
+        call.kv_source_address = request.retained_prefill->address;
+        call.kv_handle = request.retained_prefill->handle;
     }
     return call;
 }
 
-void record_placement(world &w, relay_state_entry &request,
+void record_placement(world &w, proxied_request &request,
                       instance_state const &instance,
                       instance_choice const &choice)
 {
@@ -70,7 +70,7 @@
     buffer_request_log(
         w, request, "request_placed",
         {{"instance", choice.instance},
-         {"stage", choice.stage == relay_stage::prefill ? "prefill" : "run"},
+         {"stage", choice.stage == proxy_stage::prefill ? "prefill" : "run"},
          {"row_version", std::to_string(instance.row_version)},
          {"predicted_ms", milliseconds_text(prediction.time)},
          {"wait_ms", milliseconds_text(prediction.wait)},
@@ -81,34 +81,34 @@
          {"left_ms", milliseconds_text(request.expires_at - w.now)}});
 }
 
-void send(world &w, relay_state_entry &request, instance_choice const &choice)
+void send(world &w, proxied_request &request, instance_choice const &choice)
 {
-    auto &relay = w.relay;
-    auto &instance = *relay.instances.find(choice.instance);
-    auto const attempt = relay.requests.next_attempt();
-    bool const prefill = choice.stage == relay_stage::prefill;
-    w.out.relay_calls.push_back(
+    auto &proxy = w.proxy;
+    auto &instance = *proxy.instances.find(choice.instance);
+    auto const attempt = proxy.requests.next_attempt();
+    bool const prefill = choice.stage == proxy_stage::prefill;
+    w.out.proxy_calls.push_back(
         make_call(w, request, instance, choice, attempt));
     record_placement(w, request, instance, choice);
-    relay.requests.add({attempt, request.number, choice.instance, choice.stage,
+    proxy.requests.add({attempt, request.number, choice.instance, choice.stage,
                         w.now, choice.prediction.time,
                         choice.prediction.unread_tokens,
                         instance.open_calls.size(), false});
     instance.open_calls.insert(attempt);
     instance.unread_tokens += choice.prediction.unread_tokens;
-    instance.cache.note(request.chain, w.now);
+    instance.cache.record_prompt(request.chain, w.now);
     request.attempt = attempt;
-    request.tried.push_back(choice.instance);
+    request.tried_instances.push_back(choice.instance);
     request.runs += prefill ? 0 : 1;
     ++request.sends;
     if (!request.first_sent_at)
     {
         request.first_sent_at = w.now;
-        relay.metrics.queued.add(w.now - request.arrived_at);
+        proxy.metrics.queued.add(w.now - request.arrived_at);
     }
-    relay.metrics.tokens_cached +=
+    proxy.metrics.tokens_cached +=
         static_cast<std::uint64_t>(choice.prediction.cached_tokens);
-    relay.metrics.tokens_read +=
+    proxy.metrics.tokens_read +=
         static_cast<std::uint64_t>(choice.prediction.unread_tokens);
 }
 
@@ -119,7 +119,7 @@
 ///         over the engines that accept work
 double service_tokens_per_ms(world const &w, std::string const &service)
 {
-    auto const &instances = w.relay.instances.of_service(service);
+    auto const &instances = w.proxy.instances.of_service(service);
     return std::accumulate(instances.begin(), instances.end(), 0.0,
                            [&w](double sum, instance_state const *engine)
                            {
@@ -140,25 +140,26 @@
     {
         return duration(0);
     }
-    return from_seconds(found->second * w.relay.sharing_daemons() /
+    return from_seconds(found->second * w.proxy.effective_fleet_size() /
                         service_tokens_per_ms(w, service) / 1e3);
 }
 
-void wait(world &w, relay_state_entry const &request, queued_tokens &queued)
+void wait(world &w, proxied_request const &request, queued_tokens &queued)
 {
     queued[request.service] += request.waiting_tokens;
-    w.relay.waiting.push_back(request.number);
+    w.proxy.waiting.push_back(request.number);
     wake_at(w, request.not_before);
 }
 
 /// Sends, refuses or queues the request.
 void place(world &w, request_number number, queued_tokens &queued)
 {
-    auto &request = *w.relay.requests.find(number);
+    auto &request = *w.proxy.requests.find(number);
     auto const choice = choose_instance(w, request);
     if (!choice)
     {
-        fail_relay(w, number, "no instance of the service accepts work");
+        fail_proxied_request(w, number,
+                             "no instance of the service accepts work");
         return;
     }
     auto const remaining = request.begin_by - w.now;
@@ -167,7 +168,7 @@
     if (request.runs == 0 && needed > remaining)
     {
         auto const excess = needed - remaining;
-        refuse_relay(
+        refuse_proxied_request(
             w, number, result_code::deadline_unreachable,
             "the earliest predicted first event is after the deadline",
             spread_retry_after(w, std::max(excess * 2, min_retry_after)));
@@ -186,17 +187,17 @@
 
 } // namespace
 
-void place_relays(world &w)
+void place_proxied_requests(world &w)
 {
-    auto due = std::exchange(w.relay.waiting, {});
+    auto due = std::exchange(w.proxy.waiting, {});
     std::ranges::stable_sort(
         due, {},
         [&w](request_number number)
-        { return w.relay.requests.find(number)->route->priority; });
+        { return w.proxy.requests.find(number)->route->priority; });
     queued_tokens queued;
     for (auto const number : due)
     {
-        auto const &request = *w.relay.requests.find(number);
+        auto const &request = *w.proxy.requests.find(number);
         if (request.not_before > w.now)
         {
             wait(w, request, queued);
--- a/src/place_relays.hpp
+++ b/src/place_proxied_requests.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_PLACE_RELAYS_HPP
-#define AGATELEDGE_PLACE_RELAYS_HPP
+#ifndef AGATELEDGE_PLACE_PROXIED_REQUESTS_HPP
+#define AGATELEDGE_PLACE_PROXIED_REQUESTS_HPP
 
 namespace agateledge
 {
@@ -11,7 +11,7 @@
 /// deadline is refused at once as not run.
 ///
 /// @param w state of the daemon
-void place_relays(world &w);
+void place_proxied_requests(world &w);
 
 } // namespace agateledge
 
--- a/src/plan_role_changes.cpp
+++ b/src/plan_role_changes.cpp
@@ -82,8 +82,8 @@
 bool may_plan(world const &w)
 {
     auto const &data_centre = w.identity.data_centre;
-    return w.hooks.plans_for ? w.hooks.plans_for(w, data_centre)
-                             : holds_authority(w, data_centre);
+    return w.hooks.may_plan_for ? w.hooks.may_plan_for(w, data_centre)
+                                : holds_authority(w, data_centre);
 }
 
 void count_arrivals(world &w)
@@ -177,7 +177,7 @@
         {
             hit_share_sum +=
                 w.costs.engine(*w.engines.find(engine.definition.name))
-                    .hit_share;
+                    .prefix_hit_ratio;
             prefill_engines += 1;
         }
     }
@@ -237,7 +237,7 @@
 {
     engine_state const *chosen = nullptr;
     auto const work = [](engine_state const &engine)
-    { return engine.report ? engine.report->running : engine.own_requests; };
+    { return engine.report ? engine.report->running : engine.local_requests; };
     for (auto const &engine : w.engines.all())
     {
         bool const eligible =
--- a/src/follow_caches.cpp
+++ b/src/poll_caches.cpp
@@ -1,6 +1,6 @@
-#include "follow_caches.hpp"
+#include "poll_caches.hpp"
 
-#include "log_relay.hpp"
+#include "log_proxied_request.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -32,20 +32,21 @@
 /// @return time between two reads of one engine's cache by this daemon
 duration read_interval(world const &w)
 {
-    auto const engines = static_cast<double>(w.relay.instances.all().size());
+    auto const engines = static_cast<double>(w.proxy.instances.all().size());
     return from_seconds(
-        std::max(w.relay.sharing_daemons() / max_engine_reads_per_s,
+        std::max(w.proxy.effective_fleet_size() / max_engine_reads_per_s,
                  engines / max_daemon_reads_per_s));
 }
 
 void log_read(world &w, instance_state const &engine, std::string event,
               cache_read_reply const &reply)
 {
-    log_relay(w, log_level::info, std::move(event),
-              {{"instance", engine.definition.id},
-               {"status", std::to_string(reply.status)},
-               {"after_change", std::to_string(engine.cache_feed.last_change)},
-               {"last_change", std::to_string(reply.last_change)}});
+    log_proxied_request(
+        w, log_level::info, std::move(event),
+        {{"instance", engine.definition.id},
+         {"status", std::to_string(reply.status)},
+         {"after_change", std::to_string(engine.cache_feed.last_change)},
+         {"last_change", std::to_string(reply.last_change)}});
 }
 
 void handle_failure(world &w, instance_state &engine,
@@ -80,13 +81,13 @@
     feed.last_change = reply.last_change;
     std::ranges::for_each(reply.changes,
                           [&engine, now = w.now](cache_change const &change)
-                          { engine.cache.record(change, now); });
+                          { engine.cache.apply_change(change, now); });
 }
 
 void handle_reply(world &w, cache_read_reply const &reply)
 {
-    ++w.relay.metrics.cache_reads[reply.answered ? "answered" : "failed"];
-    auto *engine = w.relay.instances.find(reply.instance);
+    ++w.proxy.metrics.cache_reads[reply.answered ? "answered" : "failed"];
+    auto *engine = w.proxy.instances.find(reply.instance);
     if (engine == nullptr)
     {
         return;
@@ -127,21 +128,21 @@
 
 } // namespace
 
-bool follows_caches(world const &w)
+bool polls_caches(world const &w)
 {
     return read_interval(w) <= max_read_interval;
 }
 
-void follow_caches(world &w)
+void poll_caches(world &w)
 {
     std::ranges::for_each(w.in.cache_read_replies,
                           [&w](cache_read_reply const &reply)
                           { handle_reply(w, reply); });
-    if (!follows_caches(w))
+    if (!polls_caches(w))
     {
         return;
     }
-    for (auto &[id, engine] : w.relay.instances.all())
+    for (auto &[id, engine] : w.proxy.instances.all())
     {
         if (engine.definition.role != engine_role::mixed)
         {
--- a/src/follow_caches.hpp
+++ b/src/poll_caches.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_FOLLOW_CACHES_HPP
-#define AGATELEDGE_FOLLOW_CACHES_HPP
+#ifndef AGATELEDGE_POLL_CACHES_HPP
+#define AGATELEDGE_POLL_CACHES_HPP
 
 namespace agateledge
 {
@@ -11,13 +11,13 @@
 /// reports, a daemon also knows the parts that other daemons have sent, and no
 /// engine repeats the prefill of a part that it or another engine already
 /// holds.
-void follow_caches(world &w);
+void poll_caches(world &w);
 
 /// @return true while the engines' caches are polled. In a fleet that is so
 ///         large that each daemon could poll an engine only rarely, a shared
 ///         part is assumed to be cached at its preferred engine instead; see
 ///         `choose_instance`.
-bool follows_caches(world const &w);
+bool polls_caches(world const &w);
 
 } // namespace agateledge
 
--- a/src/store_paces.cpp
+++ b/src/poll_schedule.cpp
@@ -1,7 +1,7 @@
-#include "store_paces.hpp"
+#include "poll_schedule.hpp"
 
 #include "fleet_interval.hpp"
-#include "relay_state.hpp"
+#include "proxy_state.hpp"
 
 #include <algorithm>
 
@@ -43,38 +43,39 @@
 
 } // namespace
 
-duration daemon_row_interval(relay_state const &relay)
+duration daemon_row_interval(proxy_state const &proxy)
 {
-    return fleet_interval(relay.sharing_daemons(), max_daemons_at_min_interval,
-                          min_row_interval, max_row_interval);
+    return fleet_interval(proxy.effective_fleet_size(),
+                          max_daemons_at_min_interval, min_row_interval,
+                          max_row_interval);
 }
 
-duration daemon_row_lifetime(relay_state const &relay)
+duration daemon_row_lifetime(proxy_state const &proxy)
 {
-    return max_missed_renewals * daemon_row_interval(relay) +
+    return max_missed_renewals * daemon_row_interval(proxy) +
            row_visibility_delay;
 }
 
-poll_schedule poll_schedule_of(relay_state const &relay, followed_table table,
+poll_schedule poll_schedule_of(proxy_state const &proxy, polled_table table,
                                bool restored)
 {
-    auto const &limits = relay.limits;
+    auto const &limits = proxy.limits;
     switch (table)
     {
-    case followed_table::configuration:
+    case polled_table::configuration:
         return {duration(0),
                 std::max<duration>(limits.reconnect_bound - store_read_timeout -
                                        reconnect_margin,
                                    min_long_poll_wait)};
-    case followed_table::instances:
+    case polled_table::instances:
     {
         auto const regular = std::max<duration>(
             limits.drain_bound - read_margin, min_instances_interval);
         return {restored ? min_instances_interval : regular, duration(0)};
     }
-    case followed_table::daemons:
-        return {relay.daemons.size() < 2 ? discovery_interval
-                                         : daemon_row_interval(relay),
+    case polled_table::daemons:
+        return {proxy.daemons.size() < 2 ? discovery_interval
+                                         : daemon_row_interval(proxy),
                 duration(0)};
     }
     return {};
--- a/src/store_paces.hpp
+++ b/src/poll_schedule.hpp
@@ -1,13 +1,13 @@
-#ifndef AGATELEDGE_STORE_PACES_HPP
-#define AGATELEDGE_STORE_PACES_HPP
+#ifndef AGATELEDGE_POLL_SCHEDULE_HPP
+#define AGATELEDGE_POLL_SCHEDULE_HPP
 
 #include "time.hpp"
 
 namespace agateledge
 {
 
-enum class followed_table;
-struct relay_state;
+enum class polled_table;
+struct proxy_state;
 
 /// How often, and with which long-poll wait, a table of the platform's store is
 /// read.
@@ -33,20 +33,20 @@
 /// Calls are billed and share the store's rate limit, so each table is read as
 /// rarely as its limit allows.
 ///
-/// @param relay the daemon's state, with the limits and the size of the fleet
+/// @param proxy the daemon's state, with the limits and the size of the fleet
 /// @param table the table to read
 /// @param restored the store has recovered within `missing_row_grace`
 /// @return the schedule
-poll_schedule poll_schedule_of(relay_state const &relay, followed_table table,
+poll_schedule poll_schedule_of(proxy_state const &proxy, polled_table table,
                                bool restored);
 
 /// @return interval at which a daemon renews its own row; grows with the fleet,
 ///         so that the total write rate of all daemons stays the same
-duration daemon_row_interval(relay_state const &relay);
+duration daemon_row_interval(proxy_state const &proxy);
 
 /// @return time after which a daemon whose row was not renewed is considered
 ///         stopped
-duration daemon_row_lifetime(relay_state const &relay);
+duration daemon_row_lifetime(proxy_state const &proxy);
 
 } // namespace agateledge
 
--- a/src/follow_store.cpp
+++ b/src/poll_store.cpp
@@ -1,7 +1,7 @@
-#include "follow_store.hpp"
+#include "poll_store.hpp"
 
-#include "log_relay.hpp"
-#include "store_paces.hpp"
+#include "log_proxied_request.hpp"
+#include "poll_schedule.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -23,17 +23,17 @@
 /// Timeout of a retried read. Retries are not long polls.
 constexpr duration retry_timeout = milliseconds(1000);
 
-table_follower &follower_of(world &w, followed_table table)
+table_poll_state &follower_of(world &w, polled_table table)
 {
-    return w.relay.followers.at(static_cast<std::size_t>(table));
+    return w.proxy.table_polls.at(static_cast<std::size_t>(table));
 }
 
-poll_schedule schedule_of(world const &w, followed_table table)
+poll_schedule schedule_of(world const &w, polled_table table)
 {
-    auto const &store = w.relay.store;
+    auto const &store = w.proxy.store;
     bool const restored =
         store.failed_at && w.now < store.restored_at + missing_row_grace;
-    return poll_schedule_of(w.relay, table, restored);
+    return poll_schedule_of(w.proxy, table, restored);
 }
 
 duration backoff(world &w, int failures)
@@ -45,7 +45,7 @@
 
 void record_reachability(world &w, bool reachable, row_read_reply const &reply)
 {
-    auto &store = w.relay.store;
+    auto &store = w.proxy.store;
     if (!reachable)
     {
         store.failed_at = w.now;
@@ -60,54 +60,55 @@
     {
         store.restored_at = w.now;
     }
-    log_relay(w, reachable ? log_level::info : log_level::warning,
-              reachable ? "store_reachable" : "store_unreachable",
-              {{"status", std::to_string(reply.status)},
-               {"outcome", std::string(name_of(reply.outcome))},
-               {"table", std::string(name_of(reply.table))},
-               {"fault", reply.fault}});
+    log_proxied_request(w, reachable ? log_level::info : log_level::warning,
+                        reachable ? "store_reachable" : "store_unreachable",
+                        {{"status", std::to_string(reply.status)},
+                         {"outcome", std::string(name_of(reply.outcome))},
+                         {"table", std::string(name_of(reply.table))},
+                         {"fault", reply.fault}});
 }
 
-void handle_failure(world &w, table_follower &follower,
+void handle_failure(world &w, table_poll_state &follower,
                     row_read_reply const &reply)
 {
     ++follower.failures;
     follower.next_read = w.now + backoff(w, follower.failures);
     if (reply.outcome == row_outcome::history_lost)
     {
-        follower.whole = true;
+        follower.needs_full_read = true;
         follower.after_key.clear();
-        log_relay(w, log_level::warning, "history_lost",
-                  {{"table", std::string(name_of(reply.table))},
-                   {"after_version", std::to_string(follower.version)}});
+        log_proxied_request(
+            w, log_level::warning, "history_lost",
+            {{"table", std::string(name_of(reply.table))},
+             {"after_version", std::to_string(follower.version)}});
         return;
     }
     record_reachability(w, false, reply);
 }
 
-void handle_rows(world &w, table_follower &follower,
+void handle_rows(world &w, table_poll_state &follower,
                  row_read_reply const &reply)
 {
     record_reachability(w, true, reply);
     follower.failures = 0;
     follower.confirmed_at = w.now;
-    if (reply.whole && follower.after_key.empty())
+    if (reply.full && follower.after_key.empty())
     {
         follower.first_page_version = reply.version;
     }
-    if (reply.whole && reply.truncated)
+    if (reply.full && reply.truncated)
     {
         follower.after_key = reply.last_key;
         follower.next_read = w.now;
         return;
     }
-    if (reply.whole)
+    if (reply.full)
     {
         follower.version =
             std::max(follower.version, follower.first_page_version);
-        follower.whole = false;
+        follower.needs_full_read = false;
         follower.after_key.clear();
-        follower.known = true;
+        follower.fully_read = true;
     }
     else
     {
@@ -120,7 +121,7 @@
 {
     auto &follower = follower_of(w, reply.table);
     follower.in_flight = false;
-    ++w.relay.metrics.store_calls[std::string(name_of(reply.outcome))];
+    ++w.proxy.metrics.store_calls[std::string(name_of(reply.outcome))];
     if (reply.outcome == row_outcome::answered)
     {
         handle_rows(w, follower, reply);
@@ -129,7 +130,7 @@
     handle_failure(w, follower, reply);
 }
 
-void read_table(world &w, followed_table table)
+void read_table(world &w, polled_table table)
 {
     auto &follower = follower_of(w, table);
     if (follower.in_flight)
@@ -144,44 +145,46 @@
     auto const schedule = schedule_of(w, table);
     row_read read;
     read.table = table;
-    read.whole = follower.whole;
+    read.full = follower.needs_full_read;
     read.after_key = follower.after_key;
     read.after_version = follower.version;
     bool const retrying = follower.failures > 0;
-    read.wait =
-        follower.whole || retrying ? duration(0) : schedule.long_poll_wait;
-    read.timeout = retrying ? retry_timeout : read.wait + store_read_timeout;
+    read.long_poll_wait = follower.needs_full_read || retrying
+                              ? duration(0)
+                              : schedule.long_poll_wait;
+    read.timeout =
+        retrying ? retry_timeout : read.long_poll_wait + store_read_timeout;
     follower.in_flight = true;
     w.out.row_reads.push_back(read);
 }
 
 void renew_daemon_row(world &w)
 {
-    auto &relay = w.relay;
-    if (relay.stopping_since)
+    auto &proxy = w.proxy;
+    if (proxy.stopping_since)
     {
         return;
     }
-    if (relay.next_daemon_row <= w.now)
+    if (proxy.next_daemon_row <= w.now)
     {
-        relay.next_daemon_row = w.now + daemon_row_interval(relay);
+        proxy.next_daemon_row = w.now + daemon_row_interval(proxy);
         w.out.daemon_row_writes.push_back({w.identity.name, false,
-                                           relay.peer_address,
+                                           proxy.peer_address,
                                            w.identity.data_centre});
     }
-    wake_at(w, relay.next_daemon_row);
+    wake_at(w, proxy.next_daemon_row);
 }
 
 } // namespace
 
-void follow_store(world &w)
+void poll_store(world &w)
 {
     std::ranges::for_each(w.in.row_read_replies,
                           [&w](row_read_reply const &reply)
                           { handle_reply(w, reply); });
-    read_table(w, followed_table::configuration);
-    read_table(w, followed_table::instances);
-    read_table(w, followed_table::daemons);
+    read_table(w, polled_table::configuration);
+    read_table(w, polled_table::instances);
+    read_table(w, polled_table::daemons);
     renew_daemon_row(w);
 }
 
--- a/src/follow_store.hpp
+++ b/src/poll_store.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_FOLLOW_STORE_HPP
-#define AGATELEDGE_FOLLOW_STORE_HPP
+#ifndef AGATELEDGE_POLL_STORE_HPP
+#define AGATELEDGE_POLL_STORE_HPP
 
 namespace agateledge
 {
@@ -12,7 +12,7 @@
 /// daemon's own row.
 ///
 /// @param w the daemon
-void follow_store(world &w);
+void poll_store(world &w);
 
 } // namespace agateledge
 
--- a/src/predict_pause.cpp
+++ b/src/predict_event_gap.cpp
@@ -1,6 +1,6 @@
-#include "predict_pause.hpp"
+#include "predict_event_gap.hpp"
 
-#include "fade.hpp"
+#include "exponential_decay.hpp"
 #include "predict_first_event.hpp"
 #include "world.hpp"
 
@@ -34,17 +34,17 @@
                     int unread_tokens)
 {
     auto const &definition = instance.definition;
-    auto const bound = w.relay.pause_bounds.find(definition.service);
+    auto const bound = w.proxy.max_event_gaps.find(definition.service);
     if (definition.role == engine_role::prefill ||
-        bound == w.relay.pause_bounds.end())
+        bound == w.proxy.max_event_gaps.end())
     {
         return duration(0);
     }
-    auto const *profile = find_service(*w.relay.routing, definition.service);
+    auto const *profile = find_service(*w.proxy.routing, definition.service);
     auto const event_time =
         time_per_token * (profile == nullptr ? 1 : profile->tokens_per_event);
     auto const tokens = static_cast<double>(
-        instance.unread_tokens + instance.others_unread_tokens + unread_tokens);
+        instance.unread_tokens + instance.peer_unread_tokens + unread_tokens);
     auto const prefill_s = tokens / prefill_tokens_per_ms(w, instance) / 1e3;
     auto const pause_s =
         to_seconds(std::max<duration>(event_time, current_pause(w, instance))) +
--- a/src/predict_first_event.cpp
+++ b/src/predict_first_event.cpp
@@ -1,6 +1,6 @@
 #include "predict_first_event.hpp"
 
-#include "fade.hpp"
+#include "exponential_decay.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -57,7 +57,7 @@
     duration most{};
     for (auto const number : instance.open_calls)
     {
-        auto const *call = w.relay.requests.find(number);
+        auto const *call = w.proxy.requests.find(number);
         if (call != nullptr && !call->answered)
         {
             most = std::max(most, w.now - call->sent_at - call->predicted);
@@ -77,7 +77,7 @@
 duration prefix_copy_time(world const &w, std::string const &service,
                           int tokens)
 {
-    auto const *profile = find_service(*w.relay.routing, service);
+    auto const *profile = find_service(*w.proxy.routing, service);
     if (tokens == 0 || profile == nullptr || profile->kv_bytes_per_ms <= 0)
     {
         return duration(0);
@@ -91,8 +91,8 @@
 {
     auto const &definition = instance.definition;
     auto const found =
-        w.relay.prefill_speeds.find({definition.service, definition.role});
-    if (found != w.relay.prefill_speeds.end())
+        w.proxy.prefill_speeds.find({definition.service, definition.role});
+    if (found != w.proxy.prefill_speeds.end())
     {
         return found->second;
     }
@@ -102,7 +102,7 @@
 }
 
 first_event_prediction predict_first_event(world const &w,
-                                           relay_state_entry const &request,
+                                           proxied_request const &request,
                                            instance_state const &instance,
                                            int copyable_tokens)
 {
@@ -121,10 +121,9 @@
     out.copied_tokens = std::max(copyable_tokens - out.cached_tokens, 0);
     out.unread_tokens =
         std::max(tokens - out.cached_tokens - out.copied_tokens, 1);
-    out.wait +=
-        prefill_time(w, instance,
-                     static_cast<double>(instance.unread_tokens +
-                                         instance.others_unread_tokens));
+    out.wait += prefill_time(w, instance,
+                             static_cast<double>(instance.unread_tokens +
+                                                 instance.peer_unread_tokens));
     out.time = out.wait + engine_base_time +
                prefix_copy_time(w, request.service, out.copied_tokens) +
                prefill_time(w, instance, out.unread_tokens);
@@ -152,7 +151,7 @@
     auto const &definition = instance.definition;
     auto const estimate = prefill_tokens_per_ms(w, instance);
     auto const weight = speed > estimate ? faster_weight : slower_weight;
-    w.relay.prefill_speeds[{definition.service, definition.role}] =
+    w.proxy.prefill_speeds[{definition.service, definition.role}] =
         estimate + weight * (speed - estimate);
 }
 
--- a/src/prompt_cache_view.cpp
+++ b/src/prompt_cache_view.cpp
@@ -1,7 +1,7 @@
 #include "prompt_cache_view.hpp"
 
 #include "cache_messages.hpp"
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 
 #include <xxhash.h>
 
@@ -88,7 +88,8 @@
         {
             auto const *held = find(link.hash);
             return held != nullptr && held->tokens + block_tokens >= tokens &&
-                   (held->prefilled || now - held->used_at < max_prefill_time);
+                   (held->prefilled ||
+                    now - held->last_used_at < max_prefill_time);
         });
 }
 
@@ -104,26 +105,26 @@
         });
 }
 
-instant prompt_cache_view::used_at(prompt_chain_link const &link) const
+instant prompt_cache_view::last_used_at(prompt_chain_link const &link) const
 {
     auto const *held = find(link.hash);
-    return held == nullptr ? instant{} : held->used_at;
+    return held == nullptr ? instant{} : held->last_used_at;
 }
 
-void prompt_cache_view::note(prompt_chain const &chain, instant now)
+void prompt_cache_view::record_prompt(prompt_chain const &chain, instant now)
 {
     int before = 0;
     for (auto const &link : chain)
     {
         auto &held = entries_[link.hash];
         held.tokens = std::max(held.tokens, link.tokens - before);
-        held.used_at = now;
+        held.last_used_at = now;
         before = link.tokens;
     }
     evict_excess();
 }
 
-void prompt_cache_view::confirm(prompt_chain const &chain)
+void prompt_cache_view::mark_prefilled(prompt_chain const &chain)
 {
     for (auto const &link : chain)
     {
@@ -135,7 +136,7 @@
     }
 }
 
-void prompt_cache_view::record(cache_change const &change, instant now)
+void prompt_cache_view::apply_change(cache_change const &change, instant now)
 {
     auto const hash = hash_of(change.model, change.part);
     if (change.kept_tokens <= 0)
@@ -154,7 +155,8 @@
         return;
     }
     auto const oldest = std::ranges::min_element(
-        entries_, {}, [](auto const &item) { return item.second.used_at; });
+        entries_, {},
+        [](auto const &item) { return item.second.last_used_at; });
     entries_.erase(oldest);
 }
 
--- a/src/prompt_cache_view.hpp
+++ b/src/prompt_cache_view.hpp
@@ -51,17 +51,17 @@
     /// @param link a shareable prefix of a prompt
     /// @return time at which the last part of the prefix was last used at the
     ///         engine; `instant{}` when it is not in the view
-    instant used_at(prompt_chain_link const &link) const;
+    instant last_used_at(prompt_chain_link const &link) const;
 
     /// Records that a prompt with these prefixes was sent to the engine.
-    void note(prompt_chain const &chain, instant now);
+    void record_prompt(prompt_chain const &chain, instant now);
 
     /// Records that the prefill of these prefixes is complete. Parts that are
     /// not in the view are not added.
-    void confirm(prompt_chain const &chain);
+    void mark_prefilled(prompt_chain const &chain);
 
     /// Applies a change that the engine reported.
-    void record(cache_change const &change, instant now);
+    void apply_change(cache_change const &change, instant now);
 
     /// Removes all entries, for example after a restart of the engine.
     void clear() { entries_.clear(); }
@@ -75,7 +75,7 @@
         int tokens = 0;
         /// The engine has completed the prefill of this part.
         bool prefilled = false;
-        instant used_at{};
+        instant last_used_at{};
     };
 
     entry const *find(std::uint64_t hash) const;
--- a/src/propose_configuration.cpp
+++ b/src/propose_configuration.cpp
@@ -1,10 +1,10 @@
 #include "propose_configuration.hpp"
 
+#include "append_configuration_writes.hpp"
 #include "apply_configuration.hpp"
-#include "call_table.hpp"
 #include "configuration_head.hpp"
 #include "json_text.hpp"
-#include "store_configuration.hpp"
+#include "send_table_call.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -41,7 +41,7 @@
     proposal.sent_at = w.now;
     ++proposal.operations_sent;
     auto const operation =
-        call_table(w, table_owner::operators, std::move(call));
+        send_table_call(w, table_owner::operators, std::move(call));
     w.config_sync.proposals.emplace(operation, std::move(proposal));
 }
 
@@ -67,8 +67,8 @@
     table_call call;
     call.conditions.push_back({configuration_head_key, proposal.head_version});
     call.conditions.push_back({revision_key(next.revision), 0});
-    store_configuration(call, w.config_sync, proposal.index, proposal.documents,
-                        proposal.write_id);
+    append_configuration_writes(call, w.config_sync, proposal.index,
+                                proposal.documents, proposal.write_id);
     send(w, std::move(proposal), proposal_step::writing, std::move(call));
 }
 
@@ -79,7 +79,7 @@
         w.config_sync.stored = proposal.index;
         w.config_sync.documents = proposal.documents;
     }
-    if (put_in_force(w, proposal.next))
+    if (activate_configuration(w, proposal.next))
     {
         confirm_revision(w, proposal.sent_at);
     }
@@ -260,7 +260,7 @@
     return true;
 }
 
-void follow_proposals(world &w)
+void advance_proposals(world &w)
 {
     for (auto const &reply : w.in.table_replies)
     {
--- a/src/propose_configuration.hpp
+++ b/src/propose_configuration.hpp
@@ -31,7 +31,7 @@
 
 /// Advances pending proposals: handles the replies of the table service that
 /// arrived in this tick and operations that timed out.
-void follow_proposals(world &w);
+void advance_proposals(world &w);
 
 } // namespace agateledge
 
--- a/src/relay_codec.hpp
+++ b/src/proxy_codec.hpp
@@ -1,9 +1,9 @@
-#ifndef AGATELEDGE_RELAY_CODEC_HPP
-#define AGATELEDGE_RELAY_CODEC_HPP
+#ifndef AGATELEDGE_PROXY_CODEC_HPP
+#define AGATELEDGE_PROXY_CODEC_HPP
 
 #include "cache_messages.hpp"
 #include "http_call.hpp"
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 #include "row_messages.hpp"
 
 #include "absl/status/statusor.h"
@@ -34,21 +34,21 @@
 
 /// Translates between the platform's wire formats and the types of this
 /// library. Every hook is a pure function of its arguments.
-struct relay_codec
+struct proxy_codec
 {
     /// Decodes a request of a caller; `invalid_request` when it cannot be
     /// forwarded.
-    std::function<absl::StatusOr<relay_request>(received_request const &)>
+    std::function<absl::StatusOr<proxy_request>(received_request const &)>
         decode_request;
 
     /// Headers of an answer that the daemon itself generates.
-    std::function<header_list(relay_answer const &)> own_answer_headers;
+    std::function<header_list(proxy_answer const &)> local_answer_headers;
 
     /// Encodes a call to an instance.
-    std::function<http_request(relay_call const &)> encode_call;
+    std::function<http_request(proxy_call const &)> encode_call;
 
     /// Decodes the head of an instance's reply to the call.
-    std::function<relay_reply_head(relay_call const &, received_head const &)>
+    std::function<proxy_reply_head(proxy_call const &, received_head const &)>
         decode_head;
 
     /// Extracts the handle of the KV cache from the complete reply to a prefill
--- a/src/relay_lifecycle.cpp
+++ b/src/proxy_lifecycle.cpp
@@ -1,6 +1,6 @@
-#include "relay_lifecycle.hpp"
+#include "proxy_lifecycle.hpp"
 
-#include "log_relay.hpp"
+#include "log_proxied_request.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -27,51 +27,51 @@
     health.counted_at = w.now;
 }
 
-void answer(world &w, relay_answer answer)
+void answer(world &w, proxy_answer answer)
 {
-    answer.close_connection = w.relay.stopping_since.has_value();
-    w.out.relay_answers.push_back(std::move(answer));
+    answer.close_connection = w.proxy.stopping_since.has_value();
+    w.out.proxy_answers.push_back(std::move(answer));
 }
 
 void remove_request(world &w, request_number number)
 {
-    auto &waiting = w.relay.waiting;
+    auto &waiting = w.proxy.waiting;
     std::erase(waiting, number);
-    w.relay.requests.erase(number);
+    w.proxy.requests.erase(number);
 }
 
 } // namespace
 
 void close_attempt(world &w, attempt_number attempt, call_result result)
 {
-    auto const *call = w.relay.requests.find(attempt);
+    auto const *call = w.proxy.requests.find(attempt);
     if (call == nullptr)
     {
         return;
     }
-    auto *instance = w.relay.instances.find(call->instance);
+    auto *instance = w.proxy.instances.find(call->instance);
     if (instance != nullptr && instance->open_calls.erase(attempt) != 0)
     {
         instance->unread_tokens -= call->answered ? 0 : call->unread_tokens;
         record_result(w, *instance, result);
     }
-    if (auto *request = w.relay.requests.find(call->request);
+    if (auto *request = w.proxy.requests.find(call->request);
         request != nullptr && request->attempt == attempt)
     {
         request->attempt.reset();
     }
-    w.relay.requests.erase(attempt);
+    w.proxy.requests.erase(attempt);
 }
 
 void cancel_attempt(world &w, attempt_number attempt, call_result result)
 {
-    w.out.relay_cancels.push_back({attempt});
+    w.out.proxy_cancels.push_back({attempt});
     close_attempt(w, attempt, result);
 }
 
-void release_kept_prefill(world &w, relay_state_entry &request)
+void release_kept_prefill(world &w, proxied_request &request)
 {
-    if (auto const kept = std::exchange(request.kept, std::nullopt))
+    if (auto const kept = std::exchange(request.retained_prefill, std::nullopt))
     {
         w.out.kv_releases.push_back({kept->address, kept->handle});
     }
@@ -83,11 +83,11 @@
                         (0.5 + 0.5 * w.random.uniform()));
 }
 
-void refuse_relay(world &w, request_number number, result_code code,
-                  std::string const &message,
-                  std::optional<duration> retry_after)
+void refuse_proxied_request(world &w, request_number number, result_code code,
+                            std::string const &message,
+                            std::optional<duration> retry_after)
 {
-    auto *request = w.relay.requests.find(number);
+    auto *request = w.proxy.requests.find(number);
     if (request == nullptr)
     {
         return;
@@ -97,11 +97,11 @@
         cancel_attempt(w, *request->attempt, call_result::neutral);
     }
     release_kept_prefill(w, *request);
-    ++w.relay.metrics.refusals[std::string(name_of(code))];
-    relay_answer reply;
+    ++w.proxy.metrics.refusals[std::string(name_of(code))];
+    proxy_answer reply;
     reply.request = number;
-    reply.kind = request->answering ? relay_answer_kind::cut
-                                    : relay_answer_kind::refused;
+    reply.kind = request->answering ? proxy_answer_kind::aborted
+                                    : proxy_answer_kind::refused;
     reply.status = http_status(code);
     reply.code = code;
     reply.message = message;
@@ -116,13 +116,14 @@
                       retry_after ? milliseconds_text(*retry_after) : ""}},
                     true);
     answer(w, std::move(reply));
-    ++w.relay.metrics.requests[request->answering ? "cut" : "refused"];
+    ++w.proxy.metrics.requests[request->answering ? "cut" : "refused"];
     remove_request(w, number);
 }
 
-void fail_relay(world &w, request_number number, std::string const &message)
+void fail_proxied_request(world &w, request_number number,
+                          std::string const &message)
 {
-    auto const *request = w.relay.requests.find(number);
+    auto const *request = w.proxy.requests.find(number);
     if (request == nullptr)
     {
         return;
@@ -130,29 +131,30 @@
     bool const late = w.now >= request->expires_at;
     if (request->runs > 0)
     {
-        refuse_relay(w, number,
-                     late ? result_code::deadline_exceeded
-                          : result_code::endpoint_failed,
-                     message);
+        refuse_proxied_request(w, number,
+                               late ? result_code::deadline_exceeded
+                                    : result_code::endpoint_failed,
+                               message);
         return;
     }
-    refuse_relay(w, number, result_code::no_endpoint, message,
-                 spread_retry_after(w, seconds(1)));
+    refuse_proxied_request(w, number, result_code::no_endpoint, message,
+                           spread_retry_after(w, seconds(1)));
 }
 
-void finish_relay(world &w, request_number number, std::string const &outcome)
+void finish_proxied_request(world &w, request_number number,
+                            std::string const &outcome)
 {
-    auto *request = w.relay.requests.find(number);
+    auto *request = w.proxy.requests.find(number);
     if (request == nullptr)
     {
         return;
     }
     auto const first = request->first_event_at.value_or(w.now);
-    w.relay.metrics.first_event.add(first - request->arrived_at);
-    ++w.relay.metrics.requests[outcome];
+    w.proxy.metrics.first_event.add(first - request->arrived_at);
+    ++w.proxy.metrics.requests[outcome];
     auto const &route = *request->route;
-    bool const paused =
-        route.target_pause && request->longest_pause > *route.target_pause;
+    bool const paused = route.max_event_gap &&
+                        request->longest_event_gap > *route.max_event_gap;
     bool const late =
         first - request->arrived_at > route.target_latency || paused;
     log_request_end(
@@ -160,17 +162,17 @@
         {{"outcome", outcome},
          {"first_event_ms", milliseconds_text(first - request->arrived_at)},
          {"target_ms", milliseconds_text(route.target_latency)},
-         {"longest_pause_ms", milliseconds_text(request->longest_pause)},
+         {"longest_pause_ms", milliseconds_text(request->longest_event_gap)},
          {"late", late ? "true" : "false"},
          {"sends", std::to_string(request->sends)}},
         late || outcome != "answered");
     remove_request(w, number);
 }
 
-bool retry_relay(world &w, relay_state_entry &request, bool extra,
-                 duration pause, std::string const &reason)
+bool retry_proxied_request(world &w, proxied_request &request, bool extra,
+                           duration pause, std::string const &reason)
 {
-    auto &relay = w.relay;
+    auto &proxy = w.proxy;
     auto const next = w.now + pause;
     bool const allowed =
         next < request.expires_at &&
@@ -180,18 +182,18 @@
     {
         return false;
     }
-    if (extra && !relay.budgets[request.service].spend(
-                     w.now, relay.limits.retries, relay.sharing_daemons()))
+    if (extra && !proxy.budgets[request.service].spend(
+                     w.now, proxy.limits.retries, proxy.effective_fleet_size()))
     {
-        ++relay.metrics.retries_denied;
+        ++proxy.metrics.retries_denied;
         buffer_request_log(w, request, "retry_denied",
                            {{"reason", reason},
-                            {"daemons", std::to_string(relay.daemons.size())}});
+                            {"daemons", std::to_string(proxy.daemons.size())}});
         return false;
     }
-    ++relay.metrics.retries;
+    ++proxy.metrics.retries;
     request.not_before = next;
-    relay.waiting.push_back(request.number);
+    proxy.waiting.push_back(request.number);
     buffer_request_log(w, request, "request_retried",
                        {{"reason", reason},
                         {"runs", std::to_string(request.runs)},
--- a/src/relay_lifecycle.hpp
+++ b/src/proxy_lifecycle.hpp
@@ -1,8 +1,8 @@
-#ifndef AGATELEDGE_RELAY_LIFECYCLE_HPP
-#define AGATELEDGE_RELAY_LIFECYCLE_HPP
+#ifndef AGATELEDGE_PROXY_LIFECYCLE_HPP
+#define AGATELEDGE_PROXY_LIFECYCLE_HPP
 
 #include "ids.hpp"
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 #include "result_code.hpp"
 
 #include <optional>
@@ -11,8 +11,8 @@
 namespace agateledge
 {
 
-struct relay_attempt;
-struct relay_state_entry;
+struct proxy_attempt;
+struct proxied_request;
 struct world;
 
 /// Result of a call, for the health of its instance.
@@ -33,25 +33,27 @@
 void cancel_attempt(world &w, attempt_number attempt, call_result result);
 
 /// Releases the KV cache that an engine retains for the request, if any.
-void release_kept_prefill(world &w, relay_state_entry &request);
+void release_kept_prefill(world &w, proxied_request &request);
 
 /// Ends a request with an error reply of the daemon, or cuts its stream when it
 /// has begun. Pass a code that means "not run" only when no call can have run:
 /// callers then send the request again.
 ///
 /// @param retry_after time after which the caller may try again
-void refuse_relay(world &w, request_number number, result_code code,
-                  std::string const &message,
-                  std::optional<duration> retry_after = {});
+void refuse_proxied_request(world &w, request_number number, result_code code,
+                            std::string const &message,
+                            std::optional<duration> retry_after = {});
 
 /// Ends a request that failed: as not run when no call can have run, else with
 /// an unknown outcome.
-void fail_relay(world &w, request_number number, std::string const &message);
+void fail_proxied_request(world &w, request_number number,
+                          std::string const &message);
 
 /// Ends a request after its answer has been forwarded to the caller.
 ///
 /// @param outcome value of the outcome label in the log and the metrics
-void finish_relay(world &w, request_number number, std::string const &outcome);
+void finish_proxied_request(world &w, request_number number,
+                            std::string const &outcome);
 
 /// Queues a request for another call, if its route, the shared retry budget and
 /// its deadline allow one.
@@ -60,8 +62,8 @@
 /// @param pause minimum time until the next call
 /// @param reason why the previous call failed, for the log
 /// @return false when no further call is allowed
-bool retry_relay(world &w, relay_state_entry &request, bool extra,
-                 duration pause, std::string const &reason);
+bool retry_proxied_request(world &w, proxied_request &request, bool extra,
+                           duration pause, std::string const &reason);
 
 /// @return random retry-after time between half of `max_retry_after` and the
 ///         whole of it, so that refused callers do not all return at once
--- a/src/relay_limits.hpp
+++ b/src/proxy_limits.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_RELAY_LIMITS_HPP
-#define AGATELEDGE_RELAY_LIMITS_HPP
+#ifndef AGATELEDGE_PROXY_LIMITS_HPP
+#define AGATELEDGE_PROXY_LIMITS_HPP
 
 #include "shared_retry_budget.hpp"
 #include "time.hpp"
@@ -11,7 +11,7 @@
 
 /// Limits that the deployment sets for a daemon behind the platform; all come
 /// from the settings file.
-struct relay_limits
+struct proxy_limits
 {
     retry_limits retries;
     /// Time from the shutdown signal until the process is killed.
@@ -23,7 +23,7 @@
     /// know the state of the store again.
     duration reconnect_bound = seconds(3);
 
-    auto operator<=>(relay_limits const &) const = default;
+    auto operator<=>(proxy_limits const &) const = default;
 };
 
 } // namespace agateledge
--- a/src/relay_listener.cpp
+++ b/src/proxy_listener.cpp
@@ -1,9 +1,9 @@
-#include "relay_listener.hpp"
+#include "proxy_listener.hpp"
 
 #include "completion_writer.hpp"
 #include "daemon_loop.hpp"
 #include "exchange_server.hpp"
-#include "relay_codec.hpp"
+#include "proxy_codec.hpp"
 #include "soup_headers.hpp"
 #include "world.hpp"
 
@@ -22,7 +22,7 @@
 
 /// One HTTP exchange with a caller, from the headers of the request to the end
 /// of the answer.
-class relay_listener::exchange
+class proxy_listener::exchange
 {
 public:
     explicit exchange(SoupServerMessage *message)
@@ -57,8 +57,8 @@
     gobject_ptr<SoupServerMessage> message_;
 };
 
-relay_listener::relay_listener(world const &state, daemon_loop &loop,
-                               relay_codec const &codec, listener_limits limits)
+proxy_listener::proxy_listener(world const &state, daemon_loop &loop,
+                               proxy_codec const &codec, listener_limits limits)
     : state_(state), loop_(loop), codec_(codec), limits_(limits),
       server_(std::make_unique<exchange_server<exchange>>(nullptr, limits))
 {
@@ -75,23 +75,24 @@
     handlers.on_end = [this](exchange &item) { handle_end(item); };
 }
 
-relay_listener::~relay_listener() = default;
+proxy_listener::~proxy_listener() = default;
 
-absl::Status relay_listener::start(std::string const &address)
+absl::Status proxy_listener::start(std::string const &address)
 {
-    return gate().start(address, {});
+    return acceptor().start(address, {});
 }
 
-connection_gate &relay_listener::gate()
+connection_acceptor &proxy_listener::acceptor()
 {
-    return server_->gate();
+    return server_->acceptor();
 }
 
-void relay_listener::check_headers(exchange &item)
+void proxy_listener::check_headers(exchange &item)
 {
     auto *message = item.message();
-    auto const &bounds = state_.relay.routing->bounds;
-    gate().set_deadline(server_->connection_of(item), limits_.request_timeout);
+    auto const &bounds = state_.proxy.routing->limits;
+    acceptor().set_deadline(server_->connection_of(item),
+                            limits_.request_timeout);
     item.headers_received_at = daemon_loop::clock_now();
     auto *headers = soup_server_message_get_request_headers(message);
     if (request_header_bytes(message) > bounds.max_header_bytes)
@@ -111,24 +112,24 @@
     }
 }
 
-void relay_listener::count_body(exchange &item, std::int64_t bytes)
+void proxy_listener::count_body(exchange &item, std::int64_t bytes)
 {
     server_->count_body(
-        item, bytes, state_.relay.routing->bounds.max_body_bytes,
+        item, bytes, state_.proxy.routing->limits.max_body_bytes,
         [this, &item] {
             refuse(item, result_code::body_too_large, "the body is too large");
         });
 }
 
-void relay_listener::accept_request(exchange &item, std::string const &path)
+void proxy_listener::accept_request(exchange &item, std::string const &path)
 {
     if (item.answered())
     {
         return;
     }
     auto *message = item.message();
-    gate().clear_deadline(server_->connection_of(item));
-    if (gate().peer_closed(server_->connection_of(item)))
+    acceptor().clear_deadline(server_->connection_of(item));
+    if (acceptor().peer_closed(server_->connection_of(item)))
     {
         refuse(item, result_code::invalid_request,
                "the client closed its side of the connection before "
@@ -153,34 +154,34 @@
     by_request_.emplace(item.request, &item);
     item.paused = true;
     soup_server_message_pause(message);
-    relay_arrival arrival;
+    proxy_arrival arrival;
     arrival.request = item.request;
     arrival.content =
-        std::make_shared<relay_request const>(*std::move(request));
-    arrival.arrived_at = item.headers_received_at;
-    loop_.input().relay_arrivals.push_back(std::move(arrival));
+        std::make_shared<proxy_request const>(*std::move(request));
+    arrival.received_at = item.headers_received_at;
+    loop_.input().proxy_arrivals.push_back(std::move(arrival));
 }
 
-void relay_listener::refuse(exchange &item, result_code code,
+void proxy_listener::refuse(exchange &item, result_code code,
                             std::string const &message)
 {
-    relay_answer answer;
-    answer.kind = relay_answer_kind::refused;
+    proxy_answer answer;
+    answer.kind = proxy_answer_kind::refused;
     answer.status = http_status(code);
     answer.code = code;
     answer.message = message;
     refuse(item, answer);
 }
 
-void relay_listener::refuse(exchange &item, relay_answer const &answer)
+void proxy_listener::refuse(exchange &item, proxy_answer const &answer)
 {
-    auto headers = codec_.own_answer_headers(answer);
+    auto headers = codec_.local_answer_headers(answer);
     headers.emplace_back("Content-Type", json_type);
     send_complete(item, answer, headers,
                   error_document(answer.code, answer.message));
 }
 
-void relay_listener::send_complete(exchange &item, relay_answer const &answer,
+void proxy_listener::send_complete(exchange &item, proxy_answer const &answer,
                                    header_list const &headers,
                                    std::string const &body)
 {
@@ -202,11 +203,11 @@
     {
         close_after_answer(message);
     }
-    gate().set_deadline(server_->connection_of(item), reader_timeout);
+    acceptor().set_deadline(server_->connection_of(item), reader_timeout);
     item.unpause();
 }
 
-void relay_listener::begin_stream(exchange &item, relay_answer const &answer)
+void proxy_listener::begin_stream(exchange &item, proxy_answer const &answer)
 {
     auto *message = item.message();
     item.streaming = true;
@@ -223,7 +224,7 @@
     }
 }
 
-void relay_listener::write_chunk(exchange &item, std::string const &bytes)
+void proxy_listener::write_chunk(exchange &item, std::string const &bytes)
 {
     item.buffered_bytes += static_cast<std::int64_t>(bytes.size());
     soup_message_body_append(
@@ -234,7 +235,7 @@
     update_backpressure(item);
 }
 
-void relay_listener::answer(relay_answer const &answer)
+void proxy_listener::answer(proxy_answer const &answer)
 {
     auto const found = by_request_.find(answer.request);
     if (found == by_request_.end())
@@ -244,41 +245,41 @@
     auto &item = *found->second;
     switch (answer.kind)
     {
-    case relay_answer_kind::begin:
+    case proxy_answer_kind::begin:
         begin_stream(item, answer);
         return;
-    case relay_answer_kind::part:
+    case proxy_answer_kind::body_chunk:
         write_chunk(item, answer.bytes);
         return;
-    case relay_answer_kind::whole:
+    case proxy_answer_kind::complete:
         by_request_.erase(found);
         send_complete(item, answer, answer.headers, answer.bytes);
         return;
-    case relay_answer_kind::end:
+    case proxy_answer_kind::end:
         by_request_.erase(found);
         item.answer_complete = true;
         soup_message_body_complete(
             soup_server_message_get_response_body(item.message()));
         soup_server_message_unpause(item.message());
         return;
-    case relay_answer_kind::cut:
+    case proxy_answer_kind::aborted:
         by_request_.erase(found);
         abort_exchange(item);
         return;
-    case relay_answer_kind::refused:
+    case proxy_answer_kind::refused:
         by_request_.erase(found);
         refuse(item, answer);
         return;
     }
 }
 
-void relay_listener::record_written(exchange &item, std::int64_t bytes)
+void proxy_listener::record_written(exchange &item, std::int64_t bytes)
 {
     item.buffered_bytes -= bytes;
     update_backpressure(item);
 }
 
-void relay_listener::update_backpressure(exchange &item)
+void proxy_listener::update_backpressure(exchange &item)
 {
     if (!item.streaming)
     {
@@ -286,28 +287,28 @@
     }
     if (item.buffered_bytes <= 0)
     {
-        gate().clear_deadline(server_->connection_of(item));
+        acceptor().clear_deadline(server_->connection_of(item));
     }
     else
     {
-        gate().set_deadline(server_->connection_of(item), reader_timeout);
+        acceptor().set_deadline(server_->connection_of(item), reader_timeout);
     }
     bool const stalled = item.buffered_bytes > limits_.max_buffered_bytes ||
                          (item.stalled && item.buffered_bytes > 0);
-    if (std::exchange(item.stalled, stalled) != stalled && on_hold)
+    if (std::exchange(item.stalled, stalled) != stalled && on_backpressure)
     {
-        on_hold(item.request, stalled);
+        on_backpressure(item.request, stalled);
     }
 }
 
-void relay_listener::abort_exchange(exchange &item)
+void proxy_listener::abort_exchange(exchange &item)
 {
     item.answer_complete = true;
-    gate().shut_down(server_->connection_of(item));
+    acceptor().shut_down(server_->connection_of(item));
     soup_server_message_unpause(item.message());
 }
 
-void relay_listener::handle_peer_closed(exchange &item)
+void proxy_listener::handle_peer_closed(exchange &item)
 {
     if (item.answered() || item.request.value() == 0)
     {
@@ -317,19 +318,19 @@
     abort_exchange(item);
 }
 
-void relay_listener::report_departure(exchange &item)
+void proxy_listener::report_departure(exchange &item)
 {
     if (by_request_.erase(item.request) != 0)
     {
-        loop_.input().relay_departures.push_back({item.request});
+        loop_.input().proxy_disconnects.push_back({item.request});
     }
 }
 
-void relay_listener::handle_end(exchange &item)
+void proxy_listener::handle_end(exchange &item)
 {
     report_departure(item);
-    gate().set_deadline(server_->connection_of(item),
-                        state_.relay.routing->bounds.idle_timeout);
+    acceptor().set_deadline(server_->connection_of(item),
+                            state_.proxy.routing->limits.idle_timeout);
 }
 
 } // namespace agateledge
--- a/src/relay_listener.hpp
+++ b/src/proxy_listener.hpp
@@ -1,8 +1,8 @@
-#ifndef AGATELEDGE_RELAY_LISTENER_HPP
-#define AGATELEDGE_RELAY_LISTENER_HPP
+#ifndef AGATELEDGE_PROXY_LISTENER_HPP
+#define AGATELEDGE_PROXY_LISTENER_HPP
 
 #include "ids.hpp"
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 #include "settings.hpp"
 
 #include "absl/status/status.h"
@@ -16,16 +16,16 @@
 namespace agateledge
 {
 
-class connection_gate;
+class connection_acceptor;
 class daemon_loop;
 template <class Exchange>
 class exchange_server;
-struct relay_codec;
+struct proxy_codec;
 struct world;
 
 /// HTTP listener for proxied requests, which are forwarded unchanged. Enforces
 /// the limits on size and time of requests, and writes the answers.
-class relay_listener
+class proxy_listener
 {
 public:
     /// @param state daemon state, read for the current limits; must outlive
@@ -33,35 +33,35 @@
     /// @param loop receives arrivals and departures; must outlive this object
     /// @param codec decodes requests; must outlive this object
     /// @param limits limits on connections
-    relay_listener(world const &state, daemon_loop &loop,
-                   relay_codec const &codec, listener_limits limits);
-    ~relay_listener();
-    relay_listener(relay_listener const &) = delete;
-    relay_listener &operator=(relay_listener const &) = delete;
+    proxy_listener(world const &state, daemon_loop &loop,
+                   proxy_codec const &codec, listener_limits limits);
+    ~proxy_listener();
+    proxy_listener(proxy_listener const &) = delete;
+    proxy_listener &operator=(proxy_listener const &) = delete;
 
-    /// Starts listening; see `connection_gate::start`.
+    /// Starts listening; see `connection_acceptor::start`.
     absl::Status start(std::string const &address);
 
     /// Writes a complete answer, or the start, the next chunk or the end of a
     /// streamed one.
-    void answer(relay_answer const &answer);
+    void answer(proxy_answer const &answer);
 
     /// Called when the reader of a stream stalls (true) or has read all
     /// buffered bytes (false).
-    std::function<void(request_number, bool hold)> on_hold;
+    std::function<void(request_number, bool hold)> on_backpressure;
 
 private:
     class exchange;
 
-    connection_gate &gate();
+    connection_acceptor &acceptor();
     void check_headers(exchange &item);
     void count_body(exchange &item, std::int64_t bytes);
     void accept_request(exchange &item, std::string const &path);
-    void refuse(exchange &item, relay_answer const &answer);
+    void refuse(exchange &item, proxy_answer const &answer);
     void refuse(exchange &item, result_code code, std::string const &message);
-    void send_complete(exchange &item, relay_answer const &answer,
+    void send_complete(exchange &item, proxy_answer const &answer,
                        header_list const &headers, std::string const &body);
-    void begin_stream(exchange &item, relay_answer const &answer);
+    void begin_stream(exchange &item, proxy_answer const &answer);
     void write_chunk(exchange &item, std::string const &bytes);
     void record_written(exchange &item, std::int64_t bytes);
     void update_backpressure(exchange &item);
@@ -72,7 +72,7 @@
 
     world const &state_;
     daemon_loop &loop_;
-    relay_codec const &codec_;
+    proxy_codec const &codec_;
     listener_limits limits_;
     std::unique_ptr<exchange_server<exchange>> server_;
     std::unordered_map<request_number, exchange *> by_request_;
--- a/src/relay_messages.hpp
+++ b/src/proxy_messages.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_RELAY_MESSAGES_HPP
-#define AGATELEDGE_RELAY_MESSAGES_HPP
+#ifndef AGATELEDGE_PROXY_MESSAGES_HPP
+#define AGATELEDGE_PROXY_MESSAGES_HPP
 
 #include "ids.hpp"
 #include "result_code.hpp"
@@ -44,7 +44,7 @@
 
 /// Proxied request of a caller, which is forwarded unchanged. Shared between
 /// the listener, the tables and the calls.
-struct relay_request
+struct proxy_request
 {
     /// Id that the caller assigned to this attempt; identifies the request in
     /// logs and in the replies of instances.
@@ -60,7 +60,7 @@
     shared_text body;
     /// Time after the arrival for which the caller waits; none when the caller
     /// did not state it.
-    std::optional<duration> patience;
+    std::optional<duration> caller_timeout;
     /// Id of the event after which the caller resumes a stream; empty to start
     /// at the beginning.
     std::string resume_after;
@@ -73,24 +73,24 @@
     }
 };
 
-using relay_request_ptr = std::shared_ptr<relay_request const>;
+using proxy_request_ptr = std::shared_ptr<proxy_request const>;
 
 /// A proxied request has arrived.
-struct relay_arrival
+struct proxy_arrival
 {
     request_number request;
-    relay_request_ptr content;
-    instant arrived_at{};
+    proxy_request_ptr content;
+    instant received_at{};
 };
 
 /// The caller closed its connection.
-struct relay_departure
+struct proxy_disconnect
 {
     request_number request;
 };
 
 /// Operation that an instance performs for a request.
-enum class relay_stage
+enum class proxy_stage
 {
     /// Execute the request.
     run,
@@ -100,14 +100,14 @@
 };
 
 /// Request to send to an instance.
-struct relay_call
+struct proxy_call
 {
     attempt_number attempt;
     request_number request;
-    relay_request_ptr content;
+    proxy_request_ptr content;
     std::string instance;
     std::string address;
-    relay_stage stage = relay_stage::run;
+    proxy_stage stage = proxy_stage::run;
     /// Time that is left for the instance; none when the caller set no limit.
     std::optional<duration> time_left;
     /// Priority at the engine, from 0 (highest) to 9.
@@ -126,7 +126,7 @@
 };
 
 /// Cancels a call; its connection is closed immediately.
-struct relay_cancel
+struct proxy_cancel
 {
     attempt_number attempt;
 };
@@ -139,7 +139,7 @@
 };
 
 /// Status line and headers of an instance's reply.
-struct relay_reply_head
+struct proxy_reply_head
 {
     int status = 0;
     /// Headers to forward to the caller.
@@ -147,14 +147,14 @@
     /// The instance reports that it did not execute the request.
     bool not_run = false;
     /// The reply does not belong to this request.
-    bool foreign = false;
+    bool mismatched_attempt = false;
     /// The reply has the signature header of an instance.
     bool is_signed = false;
     /// The reply came from another instance than the one that was called.
     bool wrong_instance = false;
 };
 
-enum class relay_event_kind
+enum class proxy_event_kind
 {
     /// `head` arrived.
     head,
@@ -169,11 +169,11 @@
 };
 
 /// Progress of a call to an instance.
-struct relay_event
+struct proxy_event
 {
     attempt_number attempt;
-    relay_event_kind kind = relay_event_kind::head;
-    std::shared_ptr<relay_reply_head const> head;
+    proxy_event_kind kind = proxy_event_kind::head;
+    std::shared_ptr<proxy_reply_head const> head;
     std::string bytes;
 };
 
@@ -185,27 +185,27 @@
     std::string handle;
 };
 
-enum class relay_answer_kind
+enum class proxy_answer_kind
 {
     /// Complete answer of an instance.
-    whole,
+    complete,
     /// Status line and headers of a stream.
     begin,
     /// Body bytes of a stream.
-    part,
+    body_chunk,
     /// End of a stream.
     end,
     /// The stream cannot be completed; the connection is closed before its end.
-    cut,
+    aborted,
     /// Error answer of the daemon itself; the reason is `code`.
     refused,
 };
 
 /// Answer to a caller.
-struct relay_answer
+struct proxy_answer
 {
     request_number request;
-    relay_answer_kind kind = relay_answer_kind::whole;
+    proxy_answer_kind kind = proxy_answer_kind::complete;
     int status = 200;
     header_list headers;
     std::string bytes;
--- a/src/relay_metrics.hpp
+++ b/src/proxy_metrics.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_RELAY_METRICS_HPP
-#define AGATELEDGE_RELAY_METRICS_HPP
+#ifndef AGATELEDGE_PROXY_METRICS_HPP
+#define AGATELEDGE_PROXY_METRICS_HPP
 
 #include "latency_quantiles.hpp"
 #include "time.hpp"
@@ -12,7 +12,7 @@
 {
 
 /// Counters and latencies of proxied requests, served on the metrics address.
-struct relay_metrics
+struct proxy_metrics
 {
     /// Counts by label value; the configuration and the result codes limit the
     /// number of values.
--- a/src/relay_metrics_text.cpp
+++ b/src/proxy_metrics_text.cpp
@@ -1,4 +1,4 @@
-#include "relay_metrics_text.hpp"
+#include "proxy_metrics_text.hpp"
 
 #include "world.hpp"
 
@@ -13,7 +13,7 @@
 constexpr char const *prefix = "agateledge_relay_";
 
 void write_counters(std::ostream &out, char const *name, char const *label,
-                    relay_metrics::counter_map const &values)
+                    proxy_metrics::counter_map const &values)
 {
     out << "# TYPE " << prefix << name << " counter\n";
     for (auto const &[value, count] : values)
@@ -46,19 +46,19 @@
 
 /// @return seconds since the table was last confirmed; -1 before its first full
 ///         read
-double age_of(world const &w, followed_table table)
+double age_of(world const &w, polled_table table)
 {
     auto const &follower =
-        w.relay.followers.at(static_cast<std::size_t>(table));
-    return follower.known ? to_seconds(w.now - follower.confirmed_at) : -1;
+        w.proxy.table_polls.at(static_cast<std::size_t>(table));
+    return follower.fully_read ? to_seconds(w.now - follower.confirmed_at) : -1;
 }
 
 } // namespace
 
-std::string relay_metrics_text(world const &w)
+std::string proxy_metrics_text(world const &w)
 {
-    auto const &relay = w.relay;
-    auto const &metrics = relay.metrics;
+    auto const &proxy = w.proxy;
+    auto const &metrics = proxy.metrics;
     std::ostringstream out;
     write_counters(out, "requests_total", "outcome", metrics.requests);
     write_counters(out, "refusals_total", "code", metrics.refusals);
@@ -79,18 +79,18 @@
     write_value(out, "prompt_tokens_read_total", "counter",
                 static_cast<double>(metrics.tokens_read));
     write_value(out, "open_requests", "gauge",
-                static_cast<double>(relay.requests.size()));
+                static_cast<double>(proxy.requests.size()));
     write_value(out, "instances", "gauge",
-                static_cast<double>(relay.instances.all().size()));
+                static_cast<double>(proxy.instances.all().size()));
     write_value(out, "daemons", "gauge",
-                static_cast<double>(relay.daemons.size()));
-    write_value(out, "store_reachable", "gauge", relay.store.reachable ? 1 : 0);
+                static_cast<double>(proxy.daemons.size()));
+    write_value(out, "store_reachable", "gauge", proxy.store.reachable ? 1 : 0);
     write_value(out, "configuration_version", "gauge",
-                static_cast<double>(relay.routing->version));
+                static_cast<double>(proxy.routing->version));
     write_value(out, "configuration_age_seconds", "gauge",
-                age_of(w, followed_table::configuration));
+                age_of(w, polled_table::configuration));
     write_value(out, "directory_age_seconds", "gauge",
-                age_of(w, followed_table::instances));
+                age_of(w, polled_table::instances));
     write_latency(out, "queued_seconds", metrics.queued);
     write_latency(out, "first_event_seconds", metrics.first_event);
     write_latency(out, "late_by_seconds", metrics.late_by);
--- a/src/relay_metrics_text.hpp
+++ b/src/proxy_metrics_text.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_RELAY_METRICS_TEXT_HPP
-#define AGATELEDGE_RELAY_METRICS_TEXT_HPP
+#ifndef AGATELEDGE_PROXY_METRICS_TEXT_HPP
+#define AGATELEDGE_PROXY_METRICS_TEXT_HPP
 
 #include <string>
 
@@ -9,7 +9,7 @@
 struct world;
 
 /// @return the proxy's metrics in the Prometheus text format
-std::string relay_metrics_text(world const &w);
+std::string proxy_metrics_text(world const &w);
 
 } // namespace agateledge
 
--- a/src/relay_process.cpp
+++ b/src/proxy_process.cpp
@@ -1,9 +1,9 @@
-#include "relay_process.hpp"
+#include "proxy_process.hpp"
 
 #include "http_exchange.hpp"
 #include "json_log.hpp"
 #include "peer_load_codec.hpp"
-#include "relay_metrics_text.hpp"
+#include "proxy_metrics_text.hpp"
 #include "settings_reader.hpp"
 
 #include <glib.h>
@@ -33,7 +33,7 @@
 /// the body of each request after its headers.
 constexpr duration body_timeout = seconds(15);
 
-listener_limits limits_of(relay_settings const &config)
+listener_limits limits_of(proxy_settings const &config)
 {
     listener_limits out;
     out.max_connections =
@@ -45,8 +45,8 @@
 
 } // namespace
 
-relay_process::relay_process(relay_settings config, std::string file,
-                             relay_codec codec, incarnation_number incarnation,
+proxy_process::proxy_process(proxy_settings config, std::string file,
+                             proxy_codec codec, incarnation_number incarnation,
                              std::uint64_t seed)
     : config_(std::move(config)), file_(std::move(file)),
       codec_(std::move(codec)),
@@ -58,13 +58,13 @@
       instances_(instance_http_, loop_, codec_), caches_(http_, loop_, codec_),
       rows_(http_, loop_, codec_, config_.store_address)
 {
-    state_.relay.enabled = true;
-    state_.relay.limits = config_.limits;
-    state_.relay.peer_address = config_.peer_address;
+    state_.proxy.enabled = true;
+    state_.proxy.limits = config_.limits;
+    state_.proxy.peer_address = config_.peer_address;
     install_handlers();
 }
 
-relay_process::~relay_process()
+proxy_process::~proxy_process()
 {
     if (file_check_timer_ != 0)
     {
@@ -72,25 +72,25 @@
     }
 }
 
-bool relay_process::ready() const
+bool proxy_process::ready() const
 {
-    auto const &relay = state_.relay;
+    auto const &proxy = state_.proxy;
     auto const &instances =
-        relay.followers.at(static_cast<std::size_t>(followed_table::instances));
-    return relay.routing->version != 0 && instances.known &&
-           !relay.stopping_since;
+        proxy.table_polls.at(static_cast<std::size_t>(polled_table::instances));
+    return proxy.routing->version != 0 && instances.fully_read &&
+           !proxy.stopping_since;
 }
 
-void relay_process::install_handlers()
+void proxy_process::install_handlers()
 {
     auto &handlers = loop_.handlers;
     handlers.write_log = [this](log_entry const &entry)
     { write_log_line(config_.name, entry); };
-    handlers.answer_relay = [this](relay_answer const &answer)
+    handlers.answer_proxied_request = [this](proxy_answer const &answer)
     { callers_.answer(answer); };
-    handlers.call_instance = [this](relay_call const &call)
+    handlers.call_instance = [this](proxy_call const &call)
     { instances_.call(call); };
-    handlers.cancel_relay = [this](relay_cancel const &cancel)
+    handlers.cancel_proxied_request = [this](proxy_cancel const &cancel)
     { instances_.cancel(cancel); };
     handlers.release_kv = [this](kv_release const &release)
     { instances_.release(release); };
@@ -104,8 +104,8 @@
     peers_.on_datagram = [this](std::string_view bytes)
     { handle_peer_load(bytes); };
     handlers.stop = [this] { stop_allowed_ = true; };
-    callers_.on_hold = [this](request_number request, bool hold)
-    { instances_.hold(request, hold); };
+    callers_.on_backpressure = [this](request_number request, bool hold)
+    { instances_.set_paused(request, hold); };
     readiness_.add(
         codec_.readiness_path.c_str(),
         [this](std::shared_ptr<http_exchange> const &request)
@@ -113,12 +113,12 @@
     metrics_.add(config_.metrics_path.c_str(),
                  [this](std::shared_ptr<http_exchange> const &request)
                  {
-                     request->reply(http_ok, relay_metrics_text(state_),
+                     request->reply(http_ok, proxy_metrics_text(state_),
                                     "text/plain; version=0.0.4");
                  });
 }
 
-absl::Status relay_process::start()
+absl::Status proxy_process::start()
 {
     auto status = callers_.start(config_.caller_address);
     status.Update(readiness_.listen(config_.readiness_address));
@@ -145,7 +145,7 @@
         file_check_interval_ms,
         [](gpointer self) -> gboolean
         {
-            static_cast<relay_process *>(self)->reload_if_changed();
+            static_cast<proxy_process *>(self)->reload_if_changed();
             return G_SOURCE_CONTINUE;
         },
         this);
@@ -153,13 +153,13 @@
     return status;
 }
 
-std::optional<std::string> relay_process::read_settings_file_text() const
+std::optional<std::string> proxy_process::read_settings_file_text() const
 {
     auto const text = read_settings_file(file_);
     return text.ok() ? std::optional(*text) : std::nullopt;
 }
 
-void relay_process::reload_if_changed()
+void proxy_process::reload_if_changed()
 {
     auto const text = read_settings_file_text();
     if (text && *text != file_text_)
@@ -168,11 +168,11 @@
     }
 }
 
-void relay_process::reload()
+void proxy_process::reload()
 {
     auto const text = read_settings_file(file_);
     auto const loaded =
-        text.ok() ? parse_relay_settings(*text, file_) : text.status();
+        text.ok() ? parse_proxy_settings(*text, file_) : text.status();
     if (!loaded.ok())
     {
         log(log_level::error, "settings_invalid",
@@ -183,12 +183,12 @@
     apply(*loaded);
 }
 
-void relay_process::apply(relay_settings const &config)
+void proxy_process::apply(proxy_settings const &config)
 {
     bool const listeners_changed =
         config.caller_address != config_.caller_address ||
         config.readiness_address != config_.readiness_address;
-    state_.relay.limits = config.limits;
+    state_.proxy.limits = config.limits;
     rows_.set_address(config.store_address);
     auto const level = set_log_level(config.log_level);
     log(level.ok() ? log_level::info : log_level::error, "reloaded",
@@ -198,28 +198,28 @@
     loop_.input();
 }
 
-void relay_process::send_peer_load(peer_load_send const &send)
+void proxy_process::send_peer_load(peer_load_send const &send)
 {
     auto const bytes = encode_peer_load(*send.report);
     auto const failed = std::ranges::count_if(
         send.to, [this, &bytes](std::string const &address)
         { return !peers_.send(address, bytes); });
-    state_.relay.metrics.load_reports["not_sent"] +=
+    state_.proxy.metrics.load_reports["not_sent"] +=
         static_cast<std::uint64_t>(failed);
 }
 
-void relay_process::handle_peer_load(std::string_view bytes)
+void proxy_process::handle_peer_load(std::string_view bytes)
 {
     auto report = decode_peer_load(bytes);
     if (!report)
     {
-        ++state_.relay.metrics.load_reports["unreadable"];
+        ++state_.proxy.metrics.load_reports["unreadable"];
         return;
     }
     loop_.input().peer_load_reports.push_back(*std::move(report));
 }
 
-void relay_process::shut_down()
+void proxy_process::shut_down()
 {
     if (shutdown_.begun())
     {
@@ -237,7 +237,7 @@
                     });
 }
 
-void relay_process::log(log_level level, std::string event,
+void proxy_process::log(log_level level, std::string event,
                         std::vector<std::pair<std::string, std::string>> fields)
 {
     write_log_line(config_.name, {level, std::move(event), std::move(fields)});
