--- a/src/relay_process.hpp
+++ b/src/proxy_process.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_RELAY_PROCESS_HPP
-#define AGATELEDGE_RELAY_PROCESS_HPP
+#ifndef AGATELEDGE_PROXY_PROCESS_HPP
+#define AGATELEDGE_PROXY_PROCESS_HPP
 
 #include "cache_reader.hpp"
 #include "daemon_loop.hpp"
@@ -8,9 +8,9 @@
 #include "http_server.hpp"
 #include "ids.hpp"
 #include "instance_client.hpp"
-#include "relay_codec.hpp"
-#include "relay_listener.hpp"
-#include "relay_settings.hpp"
+#include "proxy_codec.hpp"
+#include "proxy_listener.hpp"
+#include "proxy_settings.hpp"
 #include "row_client.hpp"
 #include "shutdown_wait.hpp"
 #include "world.hpp"
@@ -29,7 +29,7 @@
 
 /// One proxy daemon behind the platform's load balancer: its state, event loop
 /// and network adapters, on the default GLib main context.
-class relay_process
+class proxy_process
 {
 public:
     /// @param config settings of the daemon
@@ -37,11 +37,11 @@
     /// @param codec encodes and decodes the platform's protocols
     /// @param incarnation number of this run of the daemon: its start time
     /// @param seed seed of the daemon's random number generator
-    relay_process(relay_settings config, std::string file, relay_codec codec,
+    proxy_process(proxy_settings config, std::string file, proxy_codec codec,
                   incarnation_number incarnation, std::uint64_t seed);
-    ~relay_process();
-    relay_process(relay_process const &) = delete;
-    relay_process &operator=(relay_process const &) = delete;
+    ~proxy_process();
+    proxy_process(proxy_process const &) = delete;
+    proxy_process &operator=(proxy_process const &) = delete;
 
     /// Starts the listeners and begins to follow the store.
     ///
@@ -63,7 +63,7 @@
     bool ready() const;
 
     void install_handlers();
-    void apply(relay_settings const &config);
+    void apply(proxy_settings const &config);
     void reload_if_changed();
     std::optional<std::string> read_settings_file_text() const;
     void send_peer_load(peer_load_send const &send);
@@ -71,15 +71,15 @@
     void log(log_level level, std::string event,
              std::vector<std::pair<std::string, std::string>> fields);
 
-    relay_settings config_;
+    proxy_settings config_;
     std::string file_;
     std::string file_text_;
-    relay_codec codec_;
+    proxy_codec codec_;
     world state_;
     daemon_loop loop_;
     http_client http_;
     http_client instance_http_;
-    relay_listener callers_;
+    proxy_listener callers_;
     instance_client instances_;
     cache_reader caches_;
     row_client rows_;
--- a/src/relay_settings.cpp
+++ b/src/proxy_settings.cpp
@@ -1,4 +1,4 @@
-#include "relay_settings.hpp"
+#include "proxy_settings.hpp"
 
 #include "settings_reader.hpp"
 
@@ -12,7 +12,7 @@
 constexpr double max_extra_retries = 1e6;
 constexpr int max_descriptors_limit = 1 << 20;
 
-void read_listen(settings_reader &root, relay_settings &out)
+void read_listen(settings_reader &root, proxy_settings &out)
 {
     auto const *table = root.table("listen");
     if (table == nullptr)
@@ -29,7 +29,7 @@
     reader.finish();
 }
 
-void read_store(settings_reader &root, relay_settings &out)
+void read_store(settings_reader &root, proxy_settings &out)
 {
     auto const *table = root.table("store");
     if (table == nullptr)
@@ -42,7 +42,7 @@
     reader.finish();
 }
 
-void read_limits(settings_reader &root, relay_settings &out)
+void read_limits(settings_reader &root, proxy_settings &out)
 {
     auto const *table = root.table("limits");
     if (table == nullptr)
@@ -58,7 +58,7 @@
     reader.finish();
 }
 
-void read_retries(settings_reader &root, relay_settings &out)
+void read_retries(settings_reader &root, proxy_settings &out)
 {
     auto const *table = root.table("retries");
     if (table == nullptr)
@@ -73,7 +73,7 @@
     reader.finish();
 }
 
-void read_settings(settings_reader &root, relay_settings &out)
+void read_settings(settings_reader &root, proxy_settings &out)
 {
     root.read("name", out.name, true);
     root.read("data_centre", out.data_centre, true);
@@ -88,10 +88,10 @@
 
 } // namespace
 
-absl::StatusOr<relay_settings> parse_relay_settings(std::string const &text,
+absl::StatusOr<proxy_settings> parse_proxy_settings(std::string const &text,
                                                     std::string const &file)
 {
-    relay_settings out;
+    proxy_settings out;
     auto const status = read_settings_text(text, file,
                                            [&out](settings_reader &root)
                                            { read_settings(root, out); });
@@ -102,10 +102,10 @@
     return out;
 }
 
-absl::StatusOr<relay_settings> load_relay_settings(std::string const &file)
+absl::StatusOr<proxy_settings> load_proxy_settings(std::string const &file)
 {
     auto const text = read_settings_file(file);
-    return text.ok() ? parse_relay_settings(*text, file) : text.status();
+    return text.ok() ? parse_proxy_settings(*text, file) : text.status();
 }
 
 } // namespace agateledge
--- a/src/relay_settings.hpp
+++ b/src/proxy_settings.hpp
@@ -1,7 +1,7 @@
-#ifndef AGATELEDGE_RELAY_SETTINGS_HPP
-#define AGATELEDGE_RELAY_SETTINGS_HPP
+#ifndef AGATELEDGE_PROXY_SETTINGS_HPP
+#define AGATELEDGE_PROXY_SETTINGS_HPP
 
-#include "relay_limits.hpp"
+#include "proxy_limits.hpp"
 
 #include "absl/status/statusor.h"
 
@@ -12,7 +12,7 @@
 {
 
 /// Settings of a proxy daemon that runs behind the platform's load balancer.
-struct relay_settings
+struct proxy_settings
 {
     std::string name;
     std::string data_centre;
@@ -28,22 +28,22 @@
     std::string store_address;
     /// Maximum number of open file descriptors of the process.
     int max_descriptors = 4096;
-    relay_limits limits;
+    proxy_limits limits;
 
-    auto operator<=>(relay_settings const &) const = default;
+    auto operator<=>(proxy_settings const &) const = default;
 };
 
 /// Reads and checks a settings file.
 ///
 /// @param file path of the TOML file
 /// @return the settings, or `settings_invalid` listing all errors of the file
-absl::StatusOr<relay_settings> load_relay_settings(std::string const &file);
+absl::StatusOr<proxy_settings> load_proxy_settings(std::string const &file);
 
-/// As `load_relay_settings`, for the text of a settings file.
+/// As `load_proxy_settings`, for the text of a settings file.
 ///
 /// @param text TOML document
 /// @param file file name used in error messages
-absl::StatusOr<relay_settings> parse_relay_settings(std::string const &text,
+absl::StatusOr<proxy_settings> parse_proxy_settings(std::string const &text,
                                                     std::string const &file);
 
 } // namespace agateledge
--- a/src/relay_state.hpp
+++ b/src/proxy_state.hpp
@@ -1,13 +1,13 @@
-#ifndef AGATELEDGE_RELAY_STATE_HPP
-#define AGATELEDGE_RELAY_STATE_HPP
+#ifndef AGATELEDGE_PROXY_STATE_HPP
+#define AGATELEDGE_PROXY_STATE_HPP
 
 #include "due_queue.hpp"
 #include "ids.hpp"
 #include "instance_table.hpp"
-#include "load_exchange.hpp"
-#include "relay_limits.hpp"
-#include "relay_metrics.hpp"
-#include "relay_table.hpp"
+#include "load_exchange_state.hpp"
+#include "proxy_limits.hpp"
+#include "proxy_metrics.hpp"
+#include "proxy_table.hpp"
 #include "routing_configuration.hpp"
 #include "row_messages.hpp"
 #include "shared_retry_budget.hpp"
@@ -27,10 +27,10 @@
 {
 
 /// Progress of reading one followed table of the store.
-struct table_follower
+struct table_poll_state
 {
     /// The next read starts or continues a full read of the table.
-    bool whole = true;
+    bool needs_full_read = true;
     bool in_flight = false;
     /// Key after which a full read continues.
     std::string after_key;
@@ -41,7 +41,7 @@
     instant next_read{};
     int failures = 0;
     /// True once a full read has completed.
-    bool known = false;
+    bool fully_read = false;
     instant confirmed_at{};
 };
 
@@ -62,7 +62,7 @@
 struct daemon_peer
 {
     /// Time at which the row last changed.
-    instant seen_at{};
+    instant row_changed_at{};
     /// Address at which it receives reports; empty when it announces none.
     std::string address;
     std::string data_centre;
@@ -73,30 +73,30 @@
 constexpr double min_assumed_daemons = 4;
 
 /// State of the proxy.
-struct relay_state
+struct proxy_state
 {
     /// False in a daemon that serves only the product's own interface;
-    /// `tick_relays` does not run then.
+    /// `tick_proxy` does not run then.
     bool enabled = false;
-    relay_limits limits;
+    proxy_limits limits;
     std::shared_ptr<routing_configuration const> routing =
         std::make_shared<routing_configuration const>();
     /// Limits of the pauses between stream events by service; derived from
-    /// `routing` by `put_routing`.
-    std::map<std::string, duration> pause_bounds;
+    /// `routing` by `set_routing`.
+    std::map<std::string, duration> max_event_gaps;
     instance_table instances;
     /// Ids of the instances returned so far by the full read in progress.
-    std::vector<std::string> listed;
-    relay_table requests;
+    std::vector<std::string> listed_instances;
+    proxy_table requests;
     /// Requests without a call, oldest first.
     std::vector<request_number> waiting;
     due_queue<request_number> expiries;
     std::map<std::string, shared_retry_budget> budgets;
-    std::array<table_follower, followed_table_count> followers;
+    std::array<table_poll_state, polled_table_count> table_polls;
     store_condition store;
     /// Daemons by name, including this one once its row has been read.
     std::map<std::string, daemon_peer> daemons;
-    load_exchange load;
+    load_exchange_state load;
     /// Address at which this daemon receives reports of others.
     std::string peer_address;
     instant next_daemon_row{};
@@ -105,21 +105,21 @@
     /// Estimated prompt tokens that an idle engine prefills in a millisecond,
     /// by service and role.
     std::map<std::pair<std::string, engine_role>, double> prefill_speeds;
-    relay_metrics metrics;
+    proxy_metrics metrics;
     std::optional<instant> stopping_since;
     /// Last time at which a request was open during shutdown.
     instant last_open_at{};
 
     /// Applies a new configuration.
-    void put_routing(std::shared_ptr<routing_configuration const> next)
+    void set_routing(std::shared_ptr<routing_configuration const> next)
     {
         routing = std::move(next);
-        pause_bounds = pause_bounds_of(*routing);
+        max_event_gaps = max_event_gap_by_service(*routing);
     }
 
     /// @return number of daemons among which the limits of the deployment are
     ///         divided
-    double sharing_daemons() const
+    double effective_fleet_size() const
     {
         return std::max(static_cast<double>(daemons.size()),
                         min_assumed_daemons);
--- a/src/relay_table.hpp
+++ b/src/proxy_table.hpp
@@ -1,10 +1,10 @@
-#ifndef AGATELEDGE_RELAY_TABLE_HPP
-#define AGATELEDGE_RELAY_TABLE_HPP
+#ifndef AGATELEDGE_PROXY_TABLE_HPP
+#define AGATELEDGE_PROXY_TABLE_HPP
 
 #include "ids.hpp"
 #include "outbox.hpp"
 #include "prompt_cache_view.hpp"
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 #include "route_definition.hpp"
 #include "time.hpp"
 
@@ -27,10 +27,10 @@
 };
 
 /// State of an open request.
-struct relay_state_entry
+struct proxied_request
 {
     request_number number;
-    relay_request_ptr content;
+    proxy_request_ptr content;
     /// Null when no route matches.
     std::shared_ptr<route_definition const> route;
     std::string service;
@@ -44,7 +44,7 @@
     instant begin_by{};
     std::optional<attempt_number> attempt;
     /// Instances that the request was sent to, in order.
-    std::vector<std::string> tried;
+    std::vector<std::string> tried_instances;
     /// Number of calls that ran or may have run.
     int runs = 0;
     /// Number of calls that reached an instance, including refused ones.
@@ -55,7 +55,7 @@
     /// Prompt tokens that the chosen engine would have had to prefill when the
     /// request was last held back; 0 once it is sent.
     int waiting_tokens = 0;
-    std::optional<kept_prefill> kept;
+    std::optional<kept_prefill> retained_prefill;
     /// A prefill on a separate engine or the hand-over of its KV cache has
     /// failed; the next call prefills and decodes on the same engine.
     bool prefill_failed = false;
@@ -67,25 +67,25 @@
     std::string partial_event;
     /// Head of the reply, and the body of a reply that is forwarded when it is
     /// complete.
-    std::shared_ptr<relay_reply_head const> head;
+    std::shared_ptr<proxy_reply_head const> head;
     std::string body;
     std::optional<instant> first_sent_at;
     std::optional<instant> first_event_at;
     /// Arrival of the last events of a stream, and the maximum time between two
     /// such arrivals.
     instant last_event_at{};
-    duration longest_pause{};
+    duration longest_event_gap{};
     /// Buffered log entries, written when the request fails or is late.
     std::vector<log_entry> trail;
 };
 
 /// Open call to an instance.
-struct relay_attempt
+struct proxy_attempt
 {
     attempt_number attempt;
     request_number request;
     std::string instance;
-    relay_stage stage = relay_stage::run;
+    proxy_stage stage = proxy_stage::run;
     instant sent_at{};
     /// Predicted time from the send to the first bytes.
     duration predicted{};
@@ -98,16 +98,16 @@
 };
 
 /// Open requests and their calls.
-class relay_table
+class proxy_table
 {
 public:
-    relay_state_entry &add(relay_state_entry entry);
-    relay_state_entry *find(request_number number);
+    proxied_request &add(proxied_request entry);
+    proxied_request *find(request_number number);
     void erase(request_number number);
 
-    relay_attempt &add(relay_attempt attempt);
-    relay_attempt *find(attempt_number attempt);
-    relay_attempt const *find(attempt_number attempt) const;
+    proxy_attempt &add(proxy_attempt attempt);
+    proxy_attempt *find(attempt_number attempt);
+    proxy_attempt const *find(attempt_number attempt) const;
     void erase(attempt_number attempt);
 
     /// @return a number that has not been used before
@@ -115,14 +115,14 @@
 
     std::size_t size() const { return entries_.size(); }
 
-    std::unordered_map<request_number, relay_state_entry> const &all() const
+    std::unordered_map<request_number, proxied_request> const &all() const
     {
         return entries_;
     }
 
 private:
-    std::unordered_map<request_number, relay_state_entry> entries_;
-    std::unordered_map<attempt_number, relay_attempt> attempts_;
+    std::unordered_map<request_number, proxied_request> entries_;
+    std::unordered_map<attempt_number, proxy_attempt> attempts_;
     std::uint64_t last_attempt_ = 0;
 };
 
--- a/src/query_rows.cpp
+++ b/src/query_rows.cpp
@@ -110,7 +110,7 @@
             report ? report->model_version : item.model_version,
             text(name_of(engine.role())),
             text(state_of(engine)),
-            engine.own_requests + engine.peer_requests,
+            engine.local_requests + engine.peer_requests,
             report ? Json::Value(report->running) : none,
             report ? Json::Value(report->waiting) : none,
             report ? in_milliseconds(w.now - engine.report_measured_at) : none};
@@ -156,7 +156,8 @@
         if (endpoint.configured)
         {
             rows.push_back({item.name, item.address, item.data_centre,
-                            item.service, text(state), endpoint.own_requests});
+                            item.service, text(state),
+                            endpoint.local_requests});
         }
     }
     return rows;
--- a/src/move_open_work.cpp
+++ b/src/reassign_open_work.cpp
@@ -1,4 +1,4 @@
-#include "move_open_work.hpp"
+#include "reassign_open_work.hpp"
 
 #include "request_lifecycle.hpp"
 #include "world.hpp"
@@ -9,7 +9,7 @@
 namespace agateledge
 {
 
-void move_open_work(world &w, engine_index engine)
+void reassign_open_work(world &w, engine_index engine)
 {
     std::vector<attempt_number> open;
     for (auto const &[number, attempt] : w.attempts.all())
--- a/src/move_open_work.hpp
+++ b/src/reassign_open_work.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_MOVE_OPEN_WORK_HPP
-#define AGATELEDGE_MOVE_OPEN_WORK_HPP
+#ifndef AGATELEDGE_REASSIGN_OPEN_WORK_HPP
+#define AGATELEDGE_REASSIGN_OPEN_WORK_HPP
 
 #include "ids.hpp"
 
@@ -11,7 +11,7 @@
 /// Cancels the attempts that this daemon has open on an engine and puts their
 /// requests back in the waiting queue. Their answers continue on another engine
 /// from the tokens already delivered.
-void move_open_work(world &w, engine_index engine);
+void reassign_open_work(world &w, engine_index engine);
 
 } // namespace agateledge
 
--- a/src/receive_requests.cpp
+++ b/src/receive_requests.cpp
@@ -83,7 +83,7 @@
 void accept_arrival(world &w, request_arrival &arrival)
 {
     ++w.totals.requests;
-    arrival.idempotent |= asks_for_outcome(arrival);
+    arrival.idempotent |= is_outcome_query(arrival);
     if (w.draining)
     {
         refuse_arrival(w, arrival, result_code::daemon_draining,
@@ -109,7 +109,7 @@
                            "\" in service \"" + service->name + "\"");
         return;
     }
-    if ((!arrival.idempotent || asks_for_outcome(arrival)) &&
+    if ((!arrival.idempotent || is_outcome_query(arrival)) &&
         arrival.idempotency_key.empty())
     {
         refuse_arrival(w, arrival, result_code::idempotency_key_missing,
@@ -155,7 +155,8 @@
 {
     std::ranges::for_each(w.in.arrivals, [&w](request_arrival &arrival)
                           { accept_arrival(w, arrival); });
-    std::ranges::for_each(w.in.departures, [&w](caller_departure departure)
+    std::ranges::for_each(w.in.caller_disconnects,
+                          [&w](caller_disconnect departure)
                           { handle_departure(w, departure.request); });
 }
 
--- a/src/renew_leases.cpp
+++ b/src/renew_leases.cpp
@@ -1,9 +1,9 @@
 #include "renew_leases.hpp"
 
 #include "backoff_delay.hpp"
-#include "call_table.hpp"
 #include "internal_assert.hpp"
 #include "rendezvous_rank.hpp"
+#include "send_table_call.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -54,7 +54,7 @@
 {
     lease.step = step;
     lease.operation_sent_at = w.now;
-    lease.operation = call_table(w, table_owner::lease, std::move(call));
+    lease.operation = send_table_call(w, table_owner::lease, std::move(call));
 }
 
 void send_read(world &w, lease_state &lease)
--- a/src/request_lifecycle.cpp
+++ b/src/request_lifecycle.cpp
@@ -19,11 +19,12 @@
 void count_engine_load(world &w, attempt_state const &attempt, int sign)
 {
     auto &engine = w.engines.at(*attempt.engine);
-    engine.own_requests += sign;
-    engine.own_prefill_tokens += sign * attempt.counted_prefill_tokens;
+    engine.local_requests += sign;
+    engine.local_prefill_tokens += sign * attempt.counted_prefill_tokens;
     engine.local_kv_tokens += sign * attempt.counted_kv_tokens;
-    internal_assert(engine.own_requests >= 0, "engine ", engine.definition.name,
-                    " has ", engine.own_requests, " open requests");
+    internal_assert(engine.local_requests >= 0, "engine ",
+                    engine.definition.name, " has ", engine.local_requests,
+                    " open requests");
 }
 
 bool met_deadlines(world const &w, request_state const &request)
@@ -65,7 +66,7 @@
         ++w.totals.handed_over;
         return;
     }
-    if (states_not_run(code))
+    if (guarantees_not_run(code))
     {
         ++w.totals.refused_not_run;
         return;
@@ -133,7 +134,7 @@
 {
     auto attempt = new_attempt(w, request);
     attempt.endpoint = endpoint;
-    ++w.endpoints.at(endpoint).own_requests;
+    ++w.endpoints.at(endpoint).local_requests;
     record_attempt(w, attempt.request, endpoint);
     return w.attempts.add(std::move(attempt));
 }
@@ -151,7 +152,7 @@
     }
     else
     {
-        --w.endpoints.at(*attempt->endpoint).own_requests;
+        --w.endpoints.at(*attempt->endpoint).local_requests;
     }
     auto *request = w.requests.find(attempt->request);
     if (request != nullptr && request->attempt == number)
@@ -188,7 +189,7 @@
     internal_assert(request != nullptr, "refuse_request: no open request ",
                     number.value());
     internal_assert(
-        !states_not_run(code) || !may_have_run(w, number) ||
+        !guarantees_not_run(code) || !may_have_run(w, number) ||
             w.faults.refuse_after_send,
         "request ", number.value(),
         " may have run but is refused with a code that states the contrary: ",
--- a/src/request_order.cpp
+++ b/src/request_order.cpp
@@ -1,7 +1,7 @@
 #include "request_order.hpp"
 
 #include "apply_configuration.hpp"
-#include "order_targets.hpp"
+#include "meets_target.hpp"
 #include "renew_leases.hpp"
 #include "world.hpp"
 
@@ -23,7 +23,8 @@
 {
     auto const found = w.orders.states.find(engine);
     return found == w.orders.states.end() ||
-           (found->second.step == order_step::idle && !found->second.wanted &&
+           (found->second.step == order_step::idle &&
+            !found->second.requested &&
             w.now >= found->second.quarantined_until);
 }
 
@@ -45,8 +46,8 @@
     }
     auto &state = w.orders.states[wanted.engine];
     state.engine = wanted.engine;
-    state.wanted = wanted;
-    state.wanted_tries = 1;
+    state.requested = wanted;
+    state.requested_tries = 1;
     w.orders.active.insert(wanted.engine);
     wake_at(w, w.now);
     return true;
--- a/src/result_code.cpp
+++ b/src/result_code.cpp
@@ -102,7 +102,7 @@
     return find_row(code).name;
 }
 
-bool states_not_run(result_code code)
+bool guarantees_not_run(result_code code)
 {
     return find_row(code).not_run;
 }
--- a/src/result_code.hpp
+++ b/src/result_code.hpp
@@ -50,7 +50,7 @@
 
 /// @return true when `code` guarantees that the request was not run and will
 ///         not be run later, so that a caller may safely repeat it
-bool states_not_run(result_code code);
+bool guarantees_not_run(result_code code);
 
 /// @return HTTP status of a reply with `code`
 int http_status(result_code code);
--- a/src/retry_requests.cpp
+++ b/src/retry_requests.cpp
@@ -124,7 +124,7 @@
         engine.draining_since = w.now;
     }
     wake_at(w, w.next_drain_check);
-    if (engine.own_requests > 0 &&
+    if (engine.local_requests > 0 &&
         w.now - *engine.draining_since >= w.config.policy.drain_timeout)
     {
         move_attempts(w, index);
--- a/src/route_definition.hpp
+++ b/src/route_definition.hpp
@@ -48,7 +48,7 @@
     duration target_latency = seconds(1);
     /// A stream is on time while the gap between two events does not exceed
     /// this; none when the route sets no limit.
-    std::optional<duration> target_pause;
+    std::optional<duration> max_event_gap;
     /// Priority class; 0 is the highest priority.
     int priority = 0;
     std::vector<weighted_service> services;
@@ -59,14 +59,14 @@
     bool resumable = false;
 
     /// @return true when a request may be executed more than once
-    bool repeatable() const
+    bool can_retry() const
     {
         return kind == route_kind::idempotent ||
                (kind == route_kind::streaming && resumable);
     }
 
     /// @return time without an event after which a caller abandons a stream
-    duration stream_patience() const;
+    duration stream_idle_timeout() const;
 
     auto operator<=>(route_definition const &) const = default;
 };
--- a/src/routing_configuration.cpp
+++ b/src/routing_configuration.cpp
@@ -17,11 +17,11 @@
 
 } // namespace
 
-duration route_definition::stream_patience() const
+duration route_definition::stream_idle_timeout() const
 {
     return std::max(
         {duration(min_stream_timeout), target_latency_multiple * target_latency,
-         target_pause_multiple * target_pause.value_or(duration(0))});
+         target_pause_multiple * max_event_gap.value_or(duration(0))});
 }
 
 route_definition const *find_route(routing_configuration const &config,
@@ -49,20 +49,20 @@
 }
 
 std::map<std::string, duration>
-pause_bounds_of(routing_configuration const &config)
+max_event_gap_by_service(routing_configuration const &config)
 {
     std::map<std::string, duration> out;
     for (auto const &route : config.routes)
     {
-        if (!route.target_pause)
+        if (!route.max_event_gap)
         {
             continue;
         }
         for (auto const &item : route.services)
         {
             auto const [place, added] =
-                out.try_emplace(item.service, *route.target_pause);
-            place->second = std::min(place->second, *route.target_pause);
+                out.try_emplace(item.service, *route.max_event_gap);
+            place->second = std::min(place->second, *route.max_event_gap);
         }
     }
     return out;
--- a/src/routing_configuration.hpp
+++ b/src/routing_configuration.hpp
@@ -50,7 +50,7 @@
     std::uint64_t version = 0;
     std::vector<route_definition> routes;
     std::vector<service_profile> services;
-    request_limits bounds;
+    request_limits limits;
 
     auto operator<=>(routing_configuration const &) const = default;
 };
@@ -70,10 +70,10 @@
 service_profile const *find_service(routing_configuration const &config,
                                     std::string_view name);
 
-/// @return for each service, the strictest `target_pause` of the routes that
+/// @return for each service, the strictest `max_event_gap` of the routes that
 ///         use it; services without one are omitted
 std::map<std::string, duration>
-pause_bounds_of(routing_configuration const &config);
+max_event_gap_by_service(routing_configuration const &config);
 
 } // namespace agateledge
 
--- a/src/row_client.cpp
+++ b/src/row_client.cpp
@@ -2,7 +2,7 @@
 
 #include "daemon_loop.hpp"
 #include "http_client.hpp"
-#include "relay_codec.hpp"
+#include "proxy_codec.hpp"
 
 #include <utility>
 
@@ -34,7 +34,7 @@
 } // namespace
 
 row_client::row_client(http_client &http, daemon_loop &loop,
-                       relay_codec const &codec, std::string address)
+                       proxy_codec const &codec, std::string address)
     : http_(http), loop_(loop), codec_(codec), address_(std::move(address))
 {
 }
--- a/src/row_client.hpp
+++ b/src/row_client.hpp
@@ -10,7 +10,7 @@
 
 class daemon_loop;
 class http_client;
-struct relay_codec;
+struct proxy_codec;
 
 /// Client of the platform's store.
 class row_client
@@ -20,7 +20,7 @@
     /// @param loop receives the replies; must outlive this object
     /// @param codec encodes calls and decodes replies; must outlive this object
     /// @param address IP address and port of the store
-    row_client(http_client &http, daemon_loop &loop, relay_codec const &codec,
+    row_client(http_client &http, daemon_loop &loop, proxy_codec const &codec,
                std::string address);
 
     /// Starts a read; its reply is added to the inbox of the loop.
@@ -35,7 +35,7 @@
 private:
     http_client &http_;
     daemon_loop &loop_;
-    relay_codec const &codec_;
+    proxy_codec const &codec_;
     std::string address_;
 };
 
--- a/src/row_messages.cpp
+++ b/src/row_messages.cpp
@@ -3,15 +3,15 @@
 namespace agateledge
 {
 
-std::string_view name_of(followed_table table)
+std::string_view name_of(polled_table table)
 {
     switch (table)
     {
-    case followed_table::configuration:
+    case polled_table::configuration:
         return "configuration";
-    case followed_table::instances:
+    case polled_table::instances:
         return "instances";
-    case followed_table::daemons:
+    case polled_table::daemons:
         return "daemons";
     }
     return "unknown";
--- a/src/row_messages.hpp
+++ b/src/row_messages.hpp
@@ -16,30 +16,30 @@
 {
 
 /// Table of the platform's store that a daemon polls.
-enum class followed_table
+enum class polled_table
 {
     configuration,
     instances,
     daemons,
 };
 
-constexpr std::size_t followed_table_count = 3;
+constexpr std::size_t polled_table_count = 3;
 
 /// @return the name of the table in logs
-std::string_view name_of(followed_table table);
+std::string_view name_of(polled_table table);
 
 /// Read of a table: either all rows, or the changes after a version.
 struct row_read
 {
-    followed_table table = followed_table::configuration;
+    polled_table table = polled_table::configuration;
     /// All rows are requested, page by page; otherwise only the changes.
-    bool whole = true;
+    bool full = true;
     /// Last key of the previous page of a full read; empty for the first page.
     std::string after_key;
     /// Version after which changes are requested.
     std::uint64_t after_version = 0;
     /// Long poll: time for which the store may wait for a change.
-    duration wait{};
+    duration long_poll_wait{};
     duration timeout{};
 
     auto operator<=>(row_read const &) const = default;
@@ -59,7 +59,7 @@
 /// @return the name of an outcome in logs and metrics
 std::string_view name_of(row_outcome outcome);
 
-/// A row of `followed_table::instances`.
+/// A row of `polled_table::instances`.
 struct instance_row
 {
     std::string id;
@@ -70,7 +70,7 @@
     bool unreadable = false;
 };
 
-/// A row of `followed_table::daemons`.
+/// A row of `polled_table::daemons`.
 struct daemon_row
 {
     std::string name;
@@ -85,8 +85,8 @@
 /// Reply to a `row_read`.
 struct row_read_reply
 {
-    followed_table table = followed_table::configuration;
-    bool whole = true;
+    polled_table table = polled_table::configuration;
+    bool full = true;
     row_outcome outcome = row_outcome::failed;
     /// HTTP status, or 0 without a reply.
     int status = 0;
--- a/src/run_check.cpp
+++ b/src/run_check.cpp
@@ -2,7 +2,7 @@
 
 #include "command_options.hpp"
 #include "load_settings.hpp"
-#include "relay_settings.hpp"
+#include "proxy_settings.hpp"
 #include "settings.hpp"
 
 #include <iostream>
@@ -13,9 +13,9 @@
 namespace
 {
 
-int check_relay(std::string const &file)
+int check_proxy_settings(std::string const &file)
 {
-    auto const loaded = load_relay_settings(file);
+    auto const loaded = load_proxy_settings(file);
     if (!loaded.ok())
     {
         std::cerr << loaded.status().message() << "\n";
@@ -41,7 +41,7 @@
     auto const file = options.values()["settings"].as<std::string>();
     if (options.values().count("relay") != 0)
     {
-        return check_relay(file);
+        return check_proxy_settings(file);
     }
     auto const loaded = load_settings(file);
     if (!loaded.ok())
--- a/src/run_command_line.cpp
+++ b/src/run_command_line.cpp
@@ -4,7 +4,7 @@
 #include "run_check.hpp"
 #include "run_ctl.hpp"
 #include "run_dev.hpp"
-#include "run_relay.hpp"
+#include "run_proxy.hpp"
 #include "run_serve.hpp"
 
 #include <algorithm>
@@ -31,7 +31,7 @@
     subcommand{"serve", "runs one entry daemon", run_serve},
     subcommand{"relay",
                "runs one entry daemon behind the platform's load balancer",
-               run_relay},
+               run_proxy},
     subcommand{"dev", "runs daemons, stand-ins and a load in one process",
                run_dev},
     subcommand{"ctl", "sends an operator's statement to a daemon", run_ctl},
--- a/src/run_relay.cpp
+++ b/src/run_proxy.cpp
@@ -1,12 +1,12 @@
-#include "run_relay.hpp"
+#include "run_proxy.hpp"
 
 #include "command_options.hpp"
 #include "json_log.hpp"
 #include "platform_codec.hpp"
+#include "proxy_process.hpp"
 #include "raise_descriptor_limit.hpp"
-#include "relay_process.hpp"
 #include "run_main_loop.hpp"
-#include "settings_variable.hpp"
+#include "settings_path_variable.hpp"
 
 #include <cstdlib>
 #include <iostream>
@@ -19,15 +19,15 @@
 
 std::string default_settings_file()
 {
-    auto const *file = std::getenv(platform::settings_variable);
+    auto const *file = std::getenv(platform::settings_path_variable);
     return file == nullptr ? std::string() : std::string(file);
 }
 
-int run(relay_settings const &config, std::string const &file)
+int run(proxy_settings const &config, std::string const &file)
 {
     raise_descriptor_limit();
     auto const start_time = static_cast<std::uint64_t>(g_get_real_time());
-    relay_process daemon(config, file, platform::make_codec(),
+    proxy_process daemon(config, file, platform::make_codec(),
                          incarnation_number(start_time), start_time);
     auto const status = daemon.start();
     if (!status.ok())
@@ -44,7 +44,7 @@
 
 } // namespace
 
-int run_relay(std::vector<std::string> const &arguments)
+int run_proxy(std::vector<std::string> const &arguments)
 {
     command_options options(
         "agateledge relay: runs one proxy daemon behind the load balancer");
@@ -57,7 +57,7 @@
         return *code;
     }
     auto const file = options.values()["settings"].as<std::string>();
-    auto const config = load_relay_settings(file);
+    auto const config = load_proxy_settings(file);
     if (!config.ok())
     {
         std::cerr << config.status().message() << "\n";
--- a/src/run_relay.hpp
+++ b/src/run_proxy.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_RUN_RELAY_HPP
-#define AGATELEDGE_RUN_RELAY_HPP
+#ifndef AGATELEDGE_RUN_PROXY_HPP
+#define AGATELEDGE_RUN_PROXY_HPP
 
 #include <string>
 #include <vector>
@@ -12,7 +12,7 @@
 ///
 /// @param arguments command line after the subcommand
 /// @return exit code of the process
-int run_relay(std::vector<std::string> const &arguments);
+int run_proxy(std::vector<std::string> const &arguments);
 
 } // namespace agateledge
 
--- a/src/select_endpoint.cpp
+++ b/src/select_endpoint.cpp
@@ -1,6 +1,6 @@
 #include "select_endpoint.hpp"
 
-#include "break_circuits.hpp"
+#include "update_circuits.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -22,7 +22,8 @@
         {
             continue;
         }
-        if (!best || endpoint.own_requests < w.endpoints.at(*best).own_requests)
+        if (!best ||
+            endpoint.local_requests < w.endpoints.at(*best).local_requests)
         {
             best = endpoint_index(i);
         }
--- a/src/select_engine.cpp
+++ b/src/select_engine.cpp
@@ -1,7 +1,7 @@
 #include "select_engine.hpp"
 
-#include "break_circuits.hpp"
 #include "predict_engine.hpp"
+#include "update_circuits.hpp"
 #include "world.hpp"
 
 #include <algorithm>
--- a/src/call_table.cpp
+++ b/src/send_table_call.cpp
@@ -1,4 +1,4 @@
-#include "call_table.hpp"
+#include "send_table_call.hpp"
 
 #include "world.hpp"
 
@@ -7,7 +7,7 @@
 namespace agateledge
 {
 
-operation_number call_table(world &w, table_owner owner, table_call call)
+operation_number send_table_call(world &w, table_owner owner, table_call call)
 {
     call.operation = operation_number(++w.last_operation);
     call.owner = owner;
--- a/src/shared_retry_budget.cpp
+++ b/src/shared_retry_budget.cpp
@@ -41,8 +41,8 @@
     ++current(now).requests;
 }
 
-double shared_retry_budget::left(instant now, retry_limits const &limits,
-                                 double daemons)
+double shared_retry_budget::remaining(instant now, retry_limits const &limits,
+                                      double daemons)
 {
     expire(now, limits.window);
     auto const requests = std::accumulate(slots_.begin(), slots_.end(), 0,
@@ -60,7 +60,7 @@
 bool shared_retry_budget::spend(instant now, retry_limits const &limits,
                                 double daemons)
 {
-    if (left(now, limits, daemons) < 1)
+    if (remaining(now, limits, daemons) < 1)
     {
         return false;
     }
--- a/src/shared_retry_budget.hpp
+++ b/src/shared_retry_budget.hpp
@@ -37,7 +37,7 @@
     bool spend(instant now, retry_limits const &limits, double daemons);
 
     /// @return number of extra calls that are left
-    double left(instant now, retry_limits const &limits, double daemons);
+    double remaining(instant now, retry_limits const &limits, double daemons);
 
 private:
     struct slot
--- a/src/soup_headers.hpp
+++ b/src/soup_headers.hpp
@@ -1,7 +1,7 @@
 #ifndef AGATELEDGE_SOUP_HEADERS_HPP
 #define AGATELEDGE_SOUP_HEADERS_HPP
 
-#include "relay_messages.hpp"
+#include "proxy_messages.hpp"
 
 #include <libsoup/soup.h>
 
--- a/src/stop_daemon.cpp
+++ b/src/stop_daemon.cpp
@@ -68,7 +68,7 @@
     }
     bool const claims_done =
         w.claims.size() == 0 || w.now - *w.draining_since >= 2 * timeout;
-    w.out.stop_ready =
+    w.out.shutdown_complete =
         (w.requests.size() == 0 && claims_done && leases_released(w)) ||
         w.faults.skip_drain;
 }
--- a/src/stop_relays.cpp
+++ b/src/stop_proxy.cpp
@@ -1,7 +1,7 @@
-#include "stop_relays.hpp"
+#include "stop_proxy.hpp"
 
-#include "log_relay.hpp"
-#include "relay_lifecycle.hpp"
+#include "log_proxied_request.hpp"
+#include "proxy_lifecycle.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -29,47 +29,48 @@
 void fail_open_requests(world &w)
 {
     std::vector<request_number> open;
-    for (auto const &[number, request] : w.relay.requests.all())
+    for (auto const &[number, request] : w.proxy.requests.all())
     {
         open.push_back(number);
     }
     std::ranges::sort(open);
     std::ranges::for_each(
         open, [&w](request_number number)
-        { fail_relay(w, number, "the daemon is shutting down"); });
+        { fail_proxied_request(w, number, "the daemon is shutting down"); });
 }
 
 } // namespace
 
-void stop_relays(world &w)
+void stop_proxy(world &w)
 {
-    auto &relay = w.relay;
-    if (w.in.shutdown && !relay.stopping_since)
+    auto &proxy = w.proxy;
+    if (w.in.shutdown && !proxy.stopping_since)
     {
-        relay.stopping_since = w.now;
-        relay.last_open_at = w.now;
+        proxy.stopping_since = w.now;
+        proxy.last_open_at = w.now;
         w.out.daemon_row_writes.push_back({w.identity.name, true, {}, {}});
-        log_relay(w, log_level::info, "stop_begun",
-                  {{"open_requests", std::to_string(relay.requests.size())}});
+        log_proxied_request(
+            w, log_level::info, "stop_begun",
+            {{"open_requests", std::to_string(proxy.requests.size())}});
     }
-    if (!relay.stopping_since)
+    if (!proxy.stopping_since)
     {
         return;
     }
     wake_at(w, w.now + check_interval);
-    auto const elapsed = w.now - *relay.stopping_since;
-    if (elapsed >= relay.limits.shutdown_grace - exit_margin)
+    auto const elapsed = w.now - *proxy.stopping_since;
+    if (elapsed >= proxy.limits.shutdown_grace - exit_margin)
     {
         fail_open_requests(w);
-        w.out.stop_ready = true;
+        w.out.shutdown_complete = true;
         return;
     }
-    if (relay.requests.size() != 0)
+    if (proxy.requests.size() != 0)
     {
-        relay.last_open_at = w.now;
+        proxy.last_open_at = w.now;
     }
-    w.out.stop_ready = elapsed >= min_drain_time &&
-                       w.now - relay.last_open_at >= idle_exit_time;
+    w.out.shutdown_complete = elapsed >= min_drain_time &&
+                              w.now - proxy.last_open_at >= idle_exit_time;
 }
 
 } // namespace agateledge
--- a/src/stop_relays.hpp
+++ b/src/stop_proxy.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_STOP_RELAYS_HPP
-#define AGATELEDGE_STOP_RELAYS_HPP
+#ifndef AGATELEDGE_STOP_PROXY_HPP
+#define AGATELEDGE_STOP_PROXY_HPP
 
 namespace agateledge
 {
@@ -11,7 +11,7 @@
 /// before it would be killed.
 ///
 /// @param w state of the daemon
-void stop_relays(world &w);
+void stop_proxy(world &w);
 
 } // namespace agateledge
 
--- a/src/table_client.cpp
+++ b/src/table_client.cpp
@@ -93,7 +93,7 @@
 {
     auto &budget = call.is_write() ? write_budget_ : read_budget_;
     return in_flight_ < max_calls_in_flight &&
-           budget.take(daemon_loop::clock_now());
+           budget.try_consume(daemon_loop::clock_now());
 }
 
 void table_client::send(table_call const &call)
@@ -101,7 +101,7 @@
     if (bypasses_queue(call))
     {
         auto &budget = call.is_write() ? write_budget_ : read_budget_;
-        budget.force(daemon_loop::clock_now());
+        budget.consume_with_debt(daemon_loop::clock_now());
     }
     ++in_flight_;
     http_request request;
--- a/src/tick.cpp
+++ b/src/tick.cpp
@@ -1,12 +1,11 @@
 #include "tick.hpp"
 
 #include "answer_operators.hpp"
+#include "apply_change_notices.hpp"
 #include "apply_configuration.hpp"
-#include "break_circuits.hpp"
 #include "check_invariants.hpp"
 #include "claim_calls.hpp"
 #include "dispatch_requests.hpp"
-#include "follow_changes.hpp"
 #include "forward_answers.hpp"
 #include "hedge_calls.hpp"
 #include "internal_assert.hpp"
@@ -19,9 +18,10 @@
 #include "renew_leases.hpp"
 #include "retry_requests.hpp"
 #include "stop_daemon.hpp"
-#include "tick_relays.hpp"
+#include "tick_proxy.hpp"
 #include "track_engines.hpp"
 #include "track_peers.hpp"
+#include "update_circuits.hpp"
 #include "world.hpp"
 
 namespace agateledge
@@ -36,15 +36,15 @@
     w.next_wake.reset();
     track_peers(w);
     apply_configuration(w);
-    follow_proposals(w);
+    advance_proposals(w);
     track_engines(w);
     stop_daemon(w);
     learn_costs(w);
-    break_circuits(w);
+    update_circuits(w);
     plan_role_changes(w);
     renew_leases(w);
     issue_orders(w);
-    follow_changes(w);
+    apply_change_notices(w);
     forward_answers(w);
     limit_callers(w);
     receive_requests(w);
@@ -52,9 +52,9 @@
     retry_requests(w);
     hedge_calls(w);
     dispatch_requests(w);
-    if (w.relay.enabled)
+    if (w.proxy.enabled)
     {
-        tick_relays(w);
+        tick_proxy(w);
     }
     answer_operators(w);
     check_invariants(w);
--- /dev/null
+++ b/src/tick_proxy.cpp
@@ -0,0 +1,31 @@
+#include "tick_proxy.hpp"
+
+#include "admit_proxied_requests.hpp"
+#include "advance_proxied_requests.hpp"
+#include "eject_instances.hpp"
+#include "exchange_loads.hpp"
+#include "expire_proxied_requests.hpp"
+#include "place_proxied_requests.hpp"
+#include "poll_caches.hpp"
+#include "poll_store.hpp"
+#include "stop_proxy.hpp"
+#include "update_directory.hpp"
+
+namespace agateledge
+{
+
+void tick_proxy(world &w)
+{
+    poll_store(w);
+    update_directory(w);
+    exchange_loads(w);
+    advance_proxied_requests(w);
+    eject_instances(w);
+    poll_caches(w);
+    admit_proxied_requests(w);
+    expire_proxied_requests(w);
+    place_proxied_requests(w);
+    stop_proxy(w);
+}
+
+} // namespace agateledge
--- a/src/tick_relays.hpp
+++ b/src/tick_proxy.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_TICK_RELAYS_HPP
-#define AGATELEDGE_TICK_RELAYS_HPP
+#ifndef AGATELEDGE_TICK_PROXY_HPP
+#define AGATELEDGE_TICK_PROXY_HPP
 
 namespace agateledge
 {
@@ -10,7 +10,7 @@
 /// and ends requests.
 ///
 /// @param w state of a daemon behind the platform's load balancer
-void tick_relays(world &w);
+void tick_proxy(world &w);
 
 } // namespace agateledge
 
--- a/src/token_bucket.hpp
+++ b/src/token_bucket.hpp
@@ -24,7 +24,7 @@
     /// @param now current time, not earlier than that of the previous call
     /// @param tokens number of tokens to take
     /// @return false when fewer are available; then none is taken
-    bool take(instant now, double tokens = 1)
+    bool try_consume(instant now, double tokens = 1)
     {
         refill(now);
         if (tokens_ < tokens)
@@ -36,7 +36,7 @@
     }
 
     /// Takes tokens unconditionally; the balance may become negative.
-    void force(instant now, double tokens = 1)
+    void consume_with_debt(instant now, double tokens = 1)
     {
         refill(now);
         tokens_ -= tokens;
--- a/src/track_peers.cpp
+++ b/src/track_peers.cpp
@@ -88,14 +88,15 @@
     {
         return peer_condition::leaving;
     }
-    bool const recent = peer.heard_at && now - *peer.heard_at <= timeout;
-    return recent && !peer.failed ? peer_condition::live
-                                  : peer_condition::suspect;
+    bool const recent =
+        peer.last_heartbeat_at && now - *peer.last_heartbeat_at <= timeout;
+    return recent && !peer.last_call_failed ? peer_condition::live
+                                            : peer_condition::suspect;
 }
 
 bool is_silent(world const &w, peer_state const &peer, duration limit)
 {
-    return !peer.heard_at || w.now - *peer.heard_at > limit;
+    return !peer.last_heartbeat_at || w.now - *peer.last_heartbeat_at > limit;
 }
 
 /// Updates the conditions of the peers, and drops the load and demand that
@@ -143,11 +144,11 @@
         return;
     }
     auto &notice = w.orders.notices.try_emplace(change.engine).first->second;
-    if (notice.generation != change.generation || notice.heard == instant())
+    if (notice.generation != change.generation || notice.stated_at == instant())
     {
         notice = {change.generation, w.now, stated_at, false};
     }
-    notice.heard = std::max(notice.heard, stated_at);
+    notice.stated_at = std::max(notice.stated_at, stated_at);
     engine.changing = true;
 }
 
@@ -157,7 +158,8 @@
 void apply_confirmation(world &w, peer_state const &peer,
                         heartbeat const &message)
 {
-    if (message.answers != 0 && message.answers == peer.called_sequence &&
+    if (message.answered_sequence != 0 &&
+        message.answered_sequence == peer.called_sequence &&
         message.revision == w.config.revision && message.revision_age_us >= 0)
     {
         confirm_revision(w,
@@ -185,8 +187,8 @@
     peer.sequence = message.sequence;
     peer.address = message.address;
     peer.data_centre = message.data_centre;
-    peer.heard_at = w.now;
-    peer.failed = false;
+    peer.last_heartbeat_at = w.now;
+    peer.last_call_failed = false;
     peer.draining = message.draining;
     peer.revision = message.revision;
     peer.demand = message.demand;
@@ -202,7 +204,7 @@
     auto const found = w.peers.states.find(failure.peer);
     if (found != w.peers.states.end())
     {
-        found->second.failed = true;
+        found->second.last_call_failed = true;
     }
 }
 
@@ -314,7 +316,7 @@
         {
             continue;
         }
-        bool const backing_off = peer.failed && peer.called_at &&
+        bool const backing_off = peer.last_call_failed && peer.called_at &&
                                  w.now - *peer.called_at < failed_call_interval;
         if (!backing_off && !peer.address.empty())
         {
@@ -336,11 +338,12 @@
     {
         return;
     }
-    auto const message = own_heartbeat(w, w.now);
+    auto const message = make_heartbeat(w, w.now);
     w.peers.last_exchange_bytes = bytes_of(message);
     for (auto *peer : chosen)
     {
-        if (!w.peers.call_budget.take(w.now, w.peers.last_exchange_bytes))
+        if (!w.peers.call_budget.try_consume(w.now,
+                                             w.peers.last_exchange_bytes))
         {
             return;
         }
@@ -355,11 +358,11 @@
     std::vector<engine_share> shares;
     for (auto const &engine : w.engines.all())
     {
-        if (engine.own_requests > 0)
+        if (engine.local_requests > 0)
         {
-            shares.push_back({engine.definition.name, engine.own_requests,
-                              engine.own_prefill_tokens,
-                              engine.own_decode_requests});
+            shares.push_back({engine.definition.name, engine.local_requests,
+                              engine.local_prefill_tokens,
+                              engine.local_decode_requests});
         }
     }
     std::ranges::stable_sort(shares, std::ranges::greater(),
@@ -384,17 +387,17 @@
     for (auto const &[name, notice] : w.orders.notices)
     {
         changes.push_back(
-            {name, notice.generation, (now - notice.heard).count()});
+            {name, notice.generation, (now - notice.stated_at).count()});
     }
     return changes;
 }
 
 } // namespace
 
-heartbeat own_heartbeat(world &w, instant now, std::uint64_t answers)
+heartbeat make_heartbeat(world &w, instant now, std::uint64_t answers)
 {
     heartbeat message;
-    message.answers = answers;
+    message.answered_sequence = answers;
     message.from = w.identity.name;
     message.incarnation = w.identity.incarnation;
     message.data_centre = w.identity.data_centre;
@@ -407,7 +410,7 @@
     }
     message.draining = w.draining;
     message.shares = local_shares(w);
-    message.demand = w.peers.own_demand;
+    message.demand = w.peers.local_demand;
     message.changes = known_changes(w, now);
     return message;
 }
--- a/src/track_peers.hpp
+++ b/src/track_peers.hpp
@@ -31,7 +31,7 @@
 ///
 /// @param now current time, which may be later than that of the last tick
 /// @param answers sequence number of the heartbeat that is answered; 0 for none
-heartbeat own_heartbeat(world &w, instant now, std::uint64_t answers = 0);
+heartbeat make_heartbeat(world &w, instant now, std::uint64_t answers = 0);
 
 /// @return number of live daemons, including this one
 int live_daemons(world const &w);
--- a/src/break_circuits.cpp
+++ b/src/update_circuits.cpp
@@ -1,4 +1,4 @@
-#include "break_circuits.hpp"
+#include "update_circuits.hpp"
 
 #include "world.hpp"
 
@@ -182,7 +182,7 @@
 
 } // namespace
 
-void break_circuits(world &w)
+void update_circuits(world &w)
 {
     std::ranges::for_each(w.in.load_reports, [&w](load_report const &report)
                           { record_readiness(w, report); });
@@ -202,7 +202,7 @@
                     engine_index index)
 {
     auto const &target = w.circuits.engine(index.value());
-    auto const open_requests = w.engines.at(index).own_requests;
+    auto const open_requests = w.engines.at(index).local_requests;
     if (target.phase == circuit_phase::open)
     {
         return false;
@@ -222,7 +222,7 @@
 bool circuit_allows(world const &w, endpoint_index index)
 {
     auto const &target = w.circuits.endpoint(index.value());
-    auto const open_requests = w.endpoints.at(index).own_requests;
+    auto const open_requests = w.endpoints.at(index).local_requests;
     return target.phase == circuit_phase::closed ||
            (target.phase == circuit_phase::half_open && open_requests == 0);
 }
--- a/src/break_circuits.hpp
+++ b/src/update_circuits.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_BREAK_CIRCUITS_HPP
-#define AGATELEDGE_BREAK_CIRCUITS_HPP
+#ifndef AGATELEDGE_UPDATE_CIRCUITS_HPP
+#define AGATELEDGE_UPDATE_CIRCUITS_HPP
 
 #include "ids.hpp"
 
@@ -12,7 +12,7 @@
 /// Opens the circuit of an engine or endpoint that fails repeatedly or is far
 /// slower than its role's model, and closes it after a successful probe. Must
 /// run while the attempts of this tick's events are still open.
-void break_circuits(world &w);
+void update_circuits(world &w);
 
 /// @return true when the engine's circuit admits the request. An open circuit
 ///         admits none; a half-open one admits one probe at a time, which may
--- a/src/follow_directory.cpp
+++ b/src/update_directory.cpp
@@ -1,7 +1,7 @@
-#include "follow_directory.hpp"
+#include "update_directory.hpp"
 
-#include "log_relay.hpp"
-#include "store_paces.hpp"
+#include "log_proxied_request.hpp"
+#include "poll_schedule.hpp"
 #include "world.hpp"
 
 #include <algorithm>
@@ -27,43 +27,45 @@
 {
     if (!reply.fault.empty())
     {
-        log_relay(w, log_level::error, "configuration_unreadable",
-                  {{"fault", reply.fault}});
+        log_proxied_request(w, log_level::error, "configuration_unreadable",
+                            {{"fault", reply.fault}});
     }
     if (!reply.configuration ||
-        reply.configuration->version <= w.relay.routing->version)
+        reply.configuration->version <= w.proxy.routing->version)
     {
         return;
     }
-    auto const before = w.relay.routing->version;
-    w.relay.put_routing(reply.configuration);
-    log_relay(w, log_level::info, "configuration_in_force",
-              {{"version", std::to_string(reply.configuration->version)},
-               {"before", std::to_string(before)},
-               {"routes", std::to_string(reply.configuration->routes.size())},
-               {"store_version", std::to_string(reply.version)}});
+    auto const before = w.proxy.routing->version;
+    w.proxy.set_routing(reply.configuration);
+    log_proxied_request(
+        w, log_level::info, "configuration_in_force",
+        {{"version", std::to_string(reply.configuration->version)},
+         {"before", std::to_string(before)},
+         {"routes", std::to_string(reply.configuration->routes.size())},
+         {"store_version", std::to_string(reply.version)}});
 }
 
 void log_instance(world &w, std::string event, instance_state const &instance)
 {
     auto const &definition = instance.definition;
-    log_relay(w, log_level::info, std::move(event),
-              {{"instance", definition.id},
-               {"service", definition.service},
-               {"address", definition.address},
-               {"data_centre", definition.data_centre},
-               {"role", std::string(name_of(definition.role))},
-               {"accepts_work", definition.accepts_work ? "true" : "false"},
-               {"row_version", std::to_string(instance.row_version)}});
+    log_proxied_request(
+        w, log_level::info, std::move(event),
+        {{"instance", definition.id},
+         {"service", definition.service},
+         {"address", definition.address},
+         {"data_centre", definition.data_centre},
+         {"role", std::string(name_of(definition.role))},
+         {"accepts_work", definition.accepts_work ? "true" : "false"},
+         {"row_version", std::to_string(instance.row_version)}});
 }
 
 void remove_instance(world &w, std::string const &id)
 {
-    auto const *instance = w.relay.instances.find(id);
+    auto const *instance = w.proxy.instances.find(id);
     if (instance != nullptr)
     {
         log_instance(w, "instance_gone", *instance);
-        w.relay.instances.erase(id);
+        w.proxy.instances.erase(id);
     }
 }
 
@@ -71,14 +73,14 @@
 ///         that rows may be missing because they could not be renewed
 bool in_missing_row_grace(world const &w)
 {
-    auto const &store = w.relay.store;
+    auto const &store = w.proxy.store;
     return store.failed_at && w.now < store.restored_at + missing_row_grace;
 }
 
 void handle_missing_row(world &w, std::string const &id, bool outage)
 {
-    auto *instance = w.relay.instances.find(id);
-    if (instance == nullptr || instance->lapses_at)
+    auto *instance = w.proxy.instances.find(id);
+    if (instance == nullptr || instance->expires_at)
     {
         return;
     }
@@ -87,7 +89,7 @@
         remove_instance(w, id);
         return;
     }
-    instance->lapses_at = w.relay.store.restored_at + missing_row_grace;
+    instance->expires_at = w.proxy.store.restored_at + missing_row_grace;
     log_instance(w, "instance_lapsed", *instance);
 }
 
@@ -96,10 +98,10 @@
 /// a grace period; otherwise they are removed.
 void handle_missing_rows(world &w, std::vector<std::string> const &ids)
 {
-    auto const &all = w.relay.instances.all();
+    auto const &all = w.proxy.instances.all();
     auto const expiring =
         std::ranges::count_if(all, [](auto const &item)
-                              { return item.second.lapses_at.has_value(); });
+                              { return item.second.expires_at.has_value(); });
     auto const missing =
         static_cast<double>(ids.size()) + static_cast<double>(expiring);
     bool const outage = in_missing_row_grace(w) &&
@@ -111,22 +113,22 @@
 
 void apply_instance_row(world &w, instance_row const &row)
 {
-    auto const *known = w.relay.instances.find(row.id);
+    auto const *known = w.proxy.instances.find(row.id);
     if (known != nullptr && known->row_version > row.row_version)
     {
         return;
     }
     if (!row.instance)
     {
-        log_relay(w, log_level::warning, "instance_unreadable",
-                  {{"instance", row.id},
-                   {"row_version", std::to_string(row.row_version)}});
+        log_proxied_request(w, log_level::warning, "instance_unreadable",
+                            {{"instance", row.id},
+                             {"row_version", std::to_string(row.row_version)}});
         remove_instance(w, row.id);
         return;
     }
-    bool const changed = known == nullptr || known->lapses_at ||
+    bool const changed = known == nullptr || known->expires_at ||
                          known->definition != *row.instance;
-    auto const &state = w.relay.instances.put(*row.instance, row.row_version);
+    auto const &state = w.proxy.instances.put(*row.instance, row.row_version);
     if (changed)
     {
         log_instance(w,
@@ -142,7 +144,7 @@
 {
     std::set<std::string> const present(listed.begin(), listed.end());
     std::vector<std::string> missing;
-    for (auto const &[id, state] : w.relay.instances.all())
+    for (auto const &[id, state] : w.proxy.instances.all())
     {
         if (!present.contains(id))
         {
@@ -164,9 +166,9 @@
         }
         missing.push_back(row.id);
     }
-    if (reply.whole)
+    if (reply.full)
     {
-        auto &listed = w.relay.listed;
+        auto &listed = w.proxy.listed_instances;
         std::ranges::transform(reply.instances, std::back_inserter(listed),
                                &instance_row::id);
         if (!reply.truncated)
@@ -183,18 +185,19 @@
     {
         if (row.removed)
         {
-            w.relay.daemons.erase(row.name);
+            w.proxy.daemons.erase(row.name);
             continue;
         }
-        auto const [place, added] = w.relay.daemons.insert_or_assign(
+        auto const [place, added] = w.proxy.daemons.insert_or_assign(
             row.name, daemon_peer{w.now, row.peer_address, row.data_centre});
         if (added)
         {
-            log_relay(w, log_level::info, "daemon_seen",
-                      {{"peer", row.name},
-                       {"address", row.peer_address},
-                       {"data_centre", row.data_centre},
-                       {"row_version", std::to_string(row.row_version)}});
+            log_proxied_request(
+                w, log_level::info, "daemon_seen",
+                {{"peer", row.name},
+                 {"address", row.peer_address},
+                 {"data_centre", row.data_centre},
+                 {"row_version", std::to_string(row.row_version)}});
         }
     }
 }
@@ -203,13 +206,13 @@
 {
     switch (reply.table)
     {
-    case followed_table::configuration:
+    case polled_table::configuration:
         apply_configuration_row(w, reply);
         return;
-    case followed_table::instances:
+    case polled_table::instances:
         apply_instance_rows(w, reply);
         return;
-    case followed_table::daemons:
+    case polled_table::daemons:
         apply_daemon_rows(w, reply);
         return;
     }
@@ -218,18 +221,18 @@
 void remove_expired_instances(world &w)
 {
     std::vector<std::string> expired;
-    for (auto const &[id, state] : w.relay.instances.all())
+    for (auto const &[id, state] : w.proxy.instances.all())
     {
-        if (!state.lapses_at)
+        if (!state.expires_at)
         {
             continue;
         }
-        if (*state.lapses_at <= w.now)
+        if (*state.expires_at <= w.now)
         {
             expired.push_back(id);
             continue;
         }
-        wake_at(w, *state.lapses_at);
+        wake_at(w, *state.expires_at);
     }
     std::ranges::for_each(expired, [&w](std::string const &id)
                           { remove_instance(w, id); });
@@ -237,16 +240,17 @@
 
 void remove_expired_daemons(world &w)
 {
-    auto const lifetime = daemon_row_lifetime(w.relay);
-    std::erase_if(w.relay.daemons,
+    auto const lifetime = daemon_row_lifetime(w.proxy);
+    std::erase_if(w.proxy.daemons,
                   [&w, lifetime](auto const &item)
                   {
-                      bool const lost = w.relay.store.reachable &&
-                                        w.now - item.second.seen_at > lifetime;
+                      bool const lost =
+                          w.proxy.store.reachable &&
+                          w.now - item.second.row_changed_at > lifetime;
                       if (lost)
                       {
-                          log_relay(w, log_level::info, "daemon_lost",
-                                    {{"peer", item.first}});
+                          log_proxied_request(w, log_level::info, "daemon_lost",
+                                              {{"peer", item.first}});
                       }
                       return lost;
                   });
@@ -254,7 +258,7 @@
 
 } // namespace
 
-void follow_directory(world &w)
+void update_directory(world &w)
 {
     for (auto const &reply : w.in.row_read_replies)
     {
--- a/src/follow_directory.hpp
+++ b/src/update_directory.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_FOLLOW_DIRECTORY_HPP
-#define AGATELEDGE_FOLLOW_DIRECTORY_HPP
+#ifndef AGATELEDGE_UPDATE_DIRECTORY_HPP
+#define AGATELEDGE_UPDATE_DIRECTORY_HPP
 
 namespace agateledge
 {
@@ -13,7 +13,7 @@
 /// because it could not be renewed.
 ///
 /// @param w the daemon
-void follow_directory(world &w);
+void update_directory(world &w);
 
 } // namespace agateledge
 
--- a/src/world.hpp
+++ b/src/world.hpp
@@ -25,9 +25,9 @@
 #include "outbox.hpp"
 #include "peer_table.hpp"
 #include "prefix_view.hpp"
+#include "proxy_state.hpp"
 #include "query_table.hpp"
 #include "random_source.hpp"
-#include "relay_state.hpp"
 #include "request_table.hpp"
 #include "retry_budget.hpp"
 #include "role_plan.hpp"
@@ -98,7 +98,7 @@
     usage_table usage;
     query_table queries;
     counters totals;
-    relay_state relay;
+    proxy_state proxy;
     fault_switches faults;
     decision_hooks hooks;
     /// True once a shutdown has been requested.
--- a/test/correctness/booking_model_test.cpp
+++ b/test/correctness/booking_model_test.cpp
@@ -162,7 +162,7 @@
         RC_ASSERT(!item.ended);
         item.ended = true;
         bool const refused = reply.kind == caller_reply_kind::refused;
-        item.not_run = refused && states_not_run(reply.code);
+        item.not_run = refused && guarantees_not_run(reply.code);
         RC_ASSERT(!(item.not_run && item.had_effect));
         RC_ASSERT(refused || effects_[item.key] == 1);
     }
@@ -189,7 +189,7 @@
         [switches]
         {
             auto const actions =
-                *rc::gen::container<std::vector<int>>(whole_range(1 << 14));
+                *rc::gen::container<std::vector<int>>(full_range(1 << 14));
             booking_model model(switches);
             for (auto const action : actions)
             {
--- a/test/correctness/configuration_model_test.cpp
+++ b/test/correctness/configuration_model_test.cpp
@@ -29,8 +29,8 @@
          {3, configuration_event::lost_answers},
          {2, configuration_event::partition},
          {2, configuration_event::wait}});
-    return rc::gen::construct<configuration_model_step>(event, whole_range(4),
-                                                        whole_range(60));
+    return rc::gen::construct<configuration_model_step>(event, full_range(4),
+                                                        full_range(60));
 }
 
 TEST(configuration_model, changes_are_whole_and_reach_every_daemon)
--- a/test/correctness/fixed_seed_check.hpp
+++ b/test/correctness/fixed_seed_check.hpp
@@ -30,7 +30,7 @@
 
 /// Generates integers in [0, `end`) at the full range in every case. `inRange`
 /// alone draws only small numbers in the first cases.
-inline rc::Gen<int> whole_range(int end)
+inline rc::Gen<int> full_range(int end)
 {
     return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, end));
 }
--- a/test/correctness/admit_requests_test.cpp
+++ b/test/correctness/latest_start_test.cpp
@@ -10,10 +10,10 @@
 
 using namespace agateledge;
 
-TEST(admit_requests, refuses_as_not_run_what_cannot_be_in_time)
+TEST(latest_start, refuses_as_not_run_what_cannot_be_in_time)
 {
     auto w = make_policy_world({engine_role::mixed});
-    w.engines.all().front().own_prefill_tokens = 1000000;
+    w.engines.all().front().local_prefill_tokens = 1000000;
     w.in.arrivals = {make_policy_request(w, 1, 500).arrival};
     tick(w, w.now);
     EXPECT_EQ(w.requests.size(), 1U);
@@ -22,24 +22,24 @@
     ASSERT_EQ(w.out.caller_replies.size(), 1U);
     auto const code = w.out.caller_replies.front().code;
     EXPECT_EQ(code, result_code::deadline_unreachable);
-    EXPECT_TRUE(states_not_run(code));
+    EXPECT_TRUE(guarantees_not_run(code));
 }
 
-TEST(admit_requests, keeps_a_request_that_may_wait)
+TEST(latest_start, keeps_a_request_that_may_wait)
 {
     auto w = make_policy_world({engine_role::mixed});
     w.config.classes.front().may_wait = true;
-    w.engines.all().front().own_prefill_tokens = 1000000;
+    w.engines.all().front().local_prefill_tokens = 1000000;
     w.in.arrivals = {make_policy_request(w, 1, 500).arrival};
     tick(w, w.now);
     tick(w, w.now + minutes(10));
     EXPECT_EQ(w.requests.size(), 1U);
-    w.engines.all().front().own_prefill_tokens = 0;
+    w.engines.all().front().local_prefill_tokens = 0;
     tick(w, w.now + seconds(1));
     EXPECT_EQ(w.out.engine_calls.size(), 1U);
 }
 
-TEST(admit_requests, an_aged_request_passes_new_urgent_ones)
+TEST(latest_start, an_aged_request_passes_new_urgent_ones)
 {
     auto w = make_policy_world({engine_role::mixed});
     auto low_priority = w.config.classes.front();
@@ -48,14 +48,14 @@
     low_priority.may_wait = true;
     w.config.classes.push_back(low_priority);
     auto &engine = w.engines.all().front();
-    engine.own_prefill_tokens = 1000000;
+    engine.local_prefill_tokens = 1000000;
     auto old = make_policy_request(w, 1, 500).arrival;
     old.class_name = "manual";
     w.in.arrivals = {old};
     tick(w, w.now);
     w.in.arrivals = {make_policy_request(w, 2, 500).arrival};
     tick(w, w.now + minutes(2));
-    engine.own_prefill_tokens = 0;
+    engine.local_prefill_tokens = 0;
     tick(w, w.now + milliseconds(10));
     ASSERT_FALSE(w.out.caller_replies.empty());
     EXPECT_EQ(w.out.caller_replies.front().request, request_number(1));
--- a/test/correctness/membership_test.cpp
+++ b/test/correctness/membership_test.cpp
@@ -47,7 +47,7 @@
     one_daemon()
         : state({"daemon-0", incarnation_number(1), "rennes-a", "daemon-0"}, 1)
     {
-        put_in_force(state, one_engine());
+        activate_configuration(state, one_engine());
     }
 
     void receive(heartbeat const &message, duration later = milliseconds(10))
@@ -96,7 +96,7 @@
     EXPECT_TRUE(configuration_stale(state));
     run(seconds(1));
     ASSERT_EQ(state.out.peer_calls.size(), 1U);
-    message.answers = state.out.peer_calls[0].message.sequence;
+    message.answered_sequence = state.out.peer_calls[0].message.sequence;
     message.sequence = 2;
     receive(message);
     EXPECT_FALSE(configuration_stale(state));
--- a/test/correctness/operator_answers_test.cpp
+++ b/test/correctness/operator_answers_test.cpp
@@ -40,7 +40,7 @@
             engine.model = "manual";
             config.engines.push_back(engine);
         }
-        put_in_force(state, config);
+        activate_configuration(state, config);
     }
 
     operator_reply ask(std::string text)
--- a/test/correctness/order_model_test.cpp
+++ b/test/correctness/order_model_test.cpp
@@ -27,8 +27,8 @@
                                                {3, order_event::slow_copies},
                                                {1, order_event::partition},
                                                {2, order_event::wait}});
-    return rc::gen::construct<order_model_step>(event, whole_range(6),
-                                                whole_range(40));
+    return rc::gen::construct<order_model_step>(event, full_range(6),
+                                                full_range(40));
 }
 
 struct order_check
--- a/test/correctness/peer_rpc_test.cpp
+++ b/test/correctness/peer_rpc_test.cpp
@@ -31,7 +31,7 @@
     message.data_centre = "brest";
     message.address = "127.0.0.1:9";
     message.sequence = 4;
-    message.answers = 3;
+    message.answered_sequence = 3;
     message.revision = revision_number(12);
     message.revision_age_us = 1500;
     message.draining = true;
@@ -164,7 +164,7 @@
         EXPECT_TRUE(listener.start("127.0.0.1:0").ok());
         configuration config;
         config.revision = revision_number(3);
-        put_in_force(callee, config);
+        activate_configuration(callee, config);
         caller_loop.handlers.call_peer = [](peer_call const &) {};
     }
 
@@ -201,7 +201,8 @@
     auto const received = [this]
     {
         auto const peer = caller.peers.states.find("daemon-2");
-        return peer != caller.peers.states.end() && peer->second.heard_at;
+        return peer != caller.peers.states.end() &&
+               peer->second.last_heartbeat_at;
     };
     call();
     EXPECT_FALSE(run_until(received));
--- a/test/correctness/relay_directory_test.cpp
+++ b/test/correctness/proxy_directory_test.cpp
@@ -1,7 +1,7 @@
 // Guards against new work for instances that were removed or are draining, and
 // against the loss of instances whose rows expired only because the store was
 // unavailable.
-#include "relay_fixture.hpp"
+#include "proxy_fixture.hpp"
 
 #include <gtest/gtest.h>
 
@@ -23,14 +23,14 @@
     return out;
 }
 
-bool listed(relay_fixture const &daemon, std::string const &id)
+bool listed(proxy_fixture const &daemon, std::string const &id)
 {
-    return daemon.state.relay.instances.find(id) != nullptr;
+    return daemon.state.proxy.instances.find(id) != nullptr;
 }
 
-TEST(relay_directory, a_removed_row_ends_the_instance_at_once)
+TEST(proxy_directory, a_removed_row_ends_the_instance_at_once)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(6, engine_role::decode);
     daemon.instances_changed({}, {"decode-2"});
     EXPECT_FALSE(listed(daemon, "decode-2"));
@@ -38,9 +38,9 @@
 
 // The store failed for this daemon only: rows were renewed meanwhile, so a
 // missing one means that the instance was removed.
-TEST(relay_directory, a_row_that_was_removed_while_others_were_renewed_is_gone)
+TEST(proxy_directory, a_row_that_was_removed_while_others_were_renewed_is_gone)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(6, engine_role::decode);
     daemon.store_fails();
     daemon.advance(seconds(3));
@@ -50,9 +50,9 @@
     EXPECT_TRUE(listed(daemon, "decode-2"));
 }
 
-TEST(relay_directory, rows_that_lapsed_in_an_outage_are_kept_for_two_seconds)
+TEST(proxy_directory, rows_that_lapsed_in_an_outage_are_kept_for_two_seconds)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(6, engine_role::decode);
     daemon.store_fails();
     daemon.advance(seconds(3));
@@ -67,9 +67,9 @@
 
 // The grace period starts when the store is reachable again, not when the
 // missing rows are first read.
-TEST(relay_directory, a_late_look_does_not_lengthen_the_time_of_lapsed_rows)
+TEST(proxy_directory, a_late_look_does_not_lengthen_the_time_of_lapsed_rows)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(6, engine_role::decode);
     daemon.store_fails();
     daemon.advance(seconds(2));
@@ -80,28 +80,28 @@
     EXPECT_FALSE(listed(daemon, "decode-1"));
 }
 
-TEST(relay_directory, a_leaving_instance_gets_no_new_work)
+TEST(proxy_directory, a_leaving_instance_gets_no_new_work)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_endpoints(2);
     instance_definition leaving =
-        daemon.state.relay.instances.find("desk-1")->definition;
+        daemon.state.proxy.instances.find("desk-1")->definition;
     leaving.accepts_work = false;
     daemon.list(leaving);
     for (int i = 0; i < 20; ++i)
     {
         daemon.send("/look/1");
     }
-    for (auto const &call : daemon.advance(milliseconds(20)).relay_calls)
+    for (auto const &call : daemon.advance(milliseconds(20)).proxy_calls)
     {
         EXPECT_EQ(call.instance, "desk-2");
     }
 }
 
-TEST(relay_directory, an_older_configuration_is_never_put_in_force)
+TEST(proxy_directory, an_older_configuration_is_never_put_in_force)
 {
-    relay_fixture daemon;
-    auto newer = *daemon.state.relay.routing;
+    proxy_fixture daemon;
+    auto newer = *daemon.state.proxy.routing;
     newer.version = 9;
     row_read_reply reply;
     reply.outcome = row_outcome::answered;
@@ -112,7 +112,7 @@
     reply.configuration = std::make_shared<routing_configuration const>(newer);
     daemon.state.in.row_read_replies.push_back(reply);
     daemon.tick_now();
-    EXPECT_EQ(daemon.state.relay.routing->version, 9U);
+    EXPECT_EQ(daemon.state.proxy.routing->version, 9U);
 }
 
 } // namespace
--- a/test/correctness/relay_load_test.cpp
+++ b/test/correctness/proxy_load_test.cpp
@@ -3,7 +3,7 @@
 // guards against load reports that are lost, late, forged or corrupt.
 #include "exchange_loads.hpp"
 #include "peer_load_codec.hpp"
-#include "relay_fixture.hpp"
+#include "proxy_fixture.hpp"
 
 #include <gtest/gtest.h>
 
@@ -29,7 +29,7 @@
     {
         for (int i = 0; i < daemons; ++i)
         {
-            auto daemon = std::make_unique<relay_fixture>();
+            auto daemon = std::make_unique<proxy_fixture>();
             auto &identity = daemon->state.identity;
             identity.name = "edge-" + std::to_string(i);
             identity.data_centre = "zone-" + std::to_string(i % data_centres);
@@ -42,7 +42,7 @@
             for (auto const &peer : members)
             {
                 auto const &identity = peer->state.identity;
-                daemon->state.relay.daemons[identity.name] = {
+                daemon->state.proxy.daemons[identity.name] = {
                     daemon->state.now + hours(1), "address-" + identity.name,
                     identity.data_centre};
             }
@@ -59,7 +59,7 @@
             for (auto &daemon : members)
             {
                 auto out = daemon->advance(milliseconds(10));
-                std::ranges::move(out.relay_calls, std::back_inserter(calls));
+                std::ranges::move(out.proxy_calls, std::back_inserter(calls));
                 std::ranges::move(out.peer_load_reports,
                                   std::back_inserter(sent));
             }
@@ -69,8 +69,8 @@
 
     double lost_share = 0;
     std::map<std::string, std::size_t> delivered_to;
-    std::vector<relay_call> calls;
-    std::vector<std::unique_ptr<relay_fixture>> members;
+    std::vector<proxy_call> calls;
+    std::vector<std::unique_ptr<proxy_fixture>> members;
 
 private:
     void deliver(std::vector<peer_load_send> const &sent)
@@ -93,15 +93,15 @@
         }
     }
 
-    std::map<std::string, relay_fixture *> by_address_;
+    std::map<std::string, proxy_fixture *> by_address_;
     random_source random_{1};
 };
 
 /// @return the largest number of prompts that were sent to one engine
-std::size_t max_calls_of_one_engine(std::vector<relay_call> const &calls)
+std::size_t max_calls_of_one_engine(std::vector<proxy_call> const &calls)
 {
     std::map<std::string, std::size_t> counts;
-    std::ranges::for_each(calls, [&counts](relay_call const &call)
+    std::ranges::for_each(calls, [&counts](proxy_call const &call)
                           { ++counts[call.instance]; });
     return std::ranges::max_element(
                counts, {}, [](auto const &item) { return item.second; })
@@ -111,7 +111,7 @@
 // Prompts with one popular shared part arrive at 30 daemons. Without load
 // reports, all would go to the preferred engine of that part; 12 engines can
 // prefill 60 prompts at the same time.
-TEST(relay_load, a_burst_through_many_daemons_spreads_over_idle_engines)
+TEST(proxy_load, a_burst_through_many_daemons_spreads_over_idle_engines)
 {
     simulated_fleet fleet(30, 3, 12);
     fleet.advance(milliseconds(500));
@@ -136,21 +136,21 @@
     std::vector<std::int64_t> out;
     std::ranges::transform(fleet.members, std::back_inserter(out),
                            [&engine](auto const &daemon) {
-                               return daemon->state.relay.instances
+                               return daemon->state.proxy.instances
                                    .find(engine)
-                                   ->others_unread_tokens;
+                                   ->peer_unread_tokens;
                            });
     return out;
 }
 
-void add_work(relay_fixture &daemon, std::string const &engine)
+void add_work(proxy_fixture &daemon, std::string const &engine)
 {
-    auto &instance = *daemon.state.relay.instances.find(engine);
+    auto &instance = *daemon.state.proxy.instances.find(engine);
     instance.open_calls.insert(attempt_number(999));
     instance.unread_tokens = 5000;
 }
 
-TEST(relay_load, every_daemon_learns_of_work_once_at_any_fleet_size)
+TEST(proxy_load, every_daemon_learns_of_work_once_at_any_fleet_size)
 {
     for (int const size : {2, 5, 9, 10, 30, 100})
     {
@@ -164,7 +164,7 @@
     }
 }
 
-TEST(relay_load, lost_reports_are_replaced_by_the_next_ones)
+TEST(proxy_load, lost_reports_are_replaced_by_the_next_ones)
 {
     simulated_fleet fleet(30, 3, 3);
     fleet.lost_share = 0.2;
@@ -177,7 +177,7 @@
 
 // The number of reports that a daemon receives must not grow with the fleet. A
 // hub receives reports of the daemons in its own data centre.
-TEST(relay_load, few_reports_reach_a_daemon_of_a_large_fleet)
+TEST(proxy_load, few_reports_reach_a_daemon_of_a_large_fleet)
 {
     simulated_fleet fleet(100, 5, 3);
     fleet.advance(seconds(2));
@@ -190,7 +190,7 @@
     EXPECT_LE(hubs, 5U);
 }
 
-TEST(relay_load, the_work_of_a_silent_daemon_is_forgotten)
+TEST(proxy_load, the_work_of_a_silent_daemon_is_forgotten)
 {
     simulated_fleet fleet(3, 1, 3);
     fleet.advance(milliseconds(500));
@@ -199,22 +199,22 @@
     ASSERT_EQ(known_tokens(fleet, "decode-2").back(), 5000);
     auto &last = *fleet.members.back();
     last.advance(milliseconds(1500));
-    EXPECT_EQ(last.state.relay.instances.find("decode-2")->others_unread_tokens,
+    EXPECT_EQ(last.state.proxy.instances.find("decode-2")->peer_unread_tokens,
               0);
 }
 
-TEST(relay_load, a_restarted_engine_has_no_work_of_its_former_self)
+TEST(proxy_load, a_restarted_engine_has_no_work_of_its_former_self)
 {
     simulated_fleet fleet(2, 1, 3);
     fleet.advance(milliseconds(500));
     add_work(*fleet.members.front(), "decode-2");
     auto &other = *fleet.members.back();
-    auto restarted = other.state.relay.instances.find("decode-2")->definition;
+    auto restarted = other.state.proxy.instances.find("decode-2")->definition;
     restarted.started_at_ms = 7;
     other.list(restarted);
     fleet.advance(milliseconds(500));
-    EXPECT_EQ(
-        other.state.relay.instances.find("decode-2")->others_unread_tokens, 0);
+    EXPECT_EQ(other.state.proxy.instances.find("decode-2")->peer_unread_tokens,
+              0);
 }
 
 peer_load_report report_of(std::string const &sender, std::uint64_t sequence,
@@ -231,15 +231,15 @@
     return report;
 }
 
-std::int64_t known_tokens_after(relay_fixture &daemon,
+std::int64_t known_tokens_after(proxy_fixture &daemon,
                                 peer_load_report const &report)
 {
     daemon.state.in.peer_load_reports.push_back(report);
     daemon.advance(milliseconds(60));
-    return daemon.state.relay.instances.find("decode-1")->others_unread_tokens;
+    return daemon.state.proxy.instances.find("decode-1")->peer_unread_tokens;
 }
 
-TEST(relay_load, old_and_unknown_reports_are_dropped)
+TEST(proxy_load, old_and_unknown_reports_are_dropped)
 {
     simulated_fleet fleet(2, 1, 3);
     auto &daemon = *fleet.members.back();
@@ -249,7 +249,7 @@
     EXPECT_EQ(known_tokens_after(daemon, report_of("edge-0", 9, 200)), 200);
 }
 
-TEST(relay_load, damaged_datagrams_are_no_reports)
+TEST(proxy_load, damaged_datagrams_are_no_reports)
 {
     auto const bytes = encode_peer_load(report_of("edge-0", 8, 600));
     random_source random(1);
--- a/test/correctness/relay_placement_test.cpp
+++ b/test/correctness/proxy_placement_test.cpp
@@ -2,7 +2,7 @@
 // parts: prompts must go to an engine that caches their shared parts, and
 // daemons must choose the same engine without exchanging messages.
 #include "choose_instance.hpp"
-#include "relay_fixture.hpp"
+#include "proxy_fixture.hpp"
 
 #include <gtest/gtest.h>
 
@@ -24,23 +24,23 @@
 /// Sends one request and answers its call at once.
 ///
 /// @return the engine that was called
-std::string send_and_answer(relay_fixture &daemon, std::uint64_t part)
+std::string send_and_answer(proxy_fixture &daemon, std::uint64_t part)
 {
     daemon.send("/once/1", part, shared_tokens, unshared_tokens);
     auto const out = daemon.advance(milliseconds(10));
-    EXPECT_EQ(out.relay_calls.size(), 1U);
-    auto const &call = out.relay_calls.front();
+    EXPECT_EQ(out.proxy_calls.size(), 1U);
+    auto const &call = out.proxy_calls.front();
     daemon.reply_head(call.attempt, 200);
     daemon.reply_bytes(call.attempt, "id: 1\ndata: a\n\n");
-    daemon.reply_ends(call.attempt, relay_event_kind::finished);
+    daemon.reply_ends(call.attempt, proxy_event_kind::finished);
     daemon.advance(seconds(10));
     return call.instance;
 }
 
-TEST(relay_placement, daemons_agree_on_the_home_of_a_shared_part)
+TEST(proxy_placement, daemons_agree_on_the_home_of_a_shared_part)
 {
-    relay_fixture one;
-    relay_fixture other;
+    proxy_fixture one;
+    proxy_fixture other;
     one.list_engines(12, engine_role::decode);
     other.list_engines(12, engine_role::decode);
     std::set<std::string> chosen_engines;
@@ -55,16 +55,16 @@
 
 // A call at an engine that caches the shared part prefills 3,700 tokens, a call
 // at any other engine 17,000.
-TEST(relay_placement, a_burst_reads_few_shared_parts_again)
+TEST(proxy_placement, a_burst_reads_few_shared_parts_again)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(12, engine_role::decode);
     std::map<std::uint64_t, std::set<std::string>> places;
     for (int i = 0; i < 120; ++i)
     {
         auto const part = static_cast<std::uint64_t>(1 + i % 24);
         daemon.send("/once/1", part, shared_tokens, unshared_tokens);
-        for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
+        for (auto const &call : daemon.advance(milliseconds(10)).proxy_calls)
         {
             places[part].insert(call.instance);
         }
@@ -73,24 +73,24 @@
                                     { return item.second.size() <= 3; }));
 }
 
-TEST(relay_placement, a_prompt_that_was_read_goes_on_at_a_decode_engine)
+TEST(proxy_placement, a_prompt_that_was_read_goes_on_at_a_decode_engine)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(8, engine_role::decode);
     daemon.list_engines(4, engine_role::prefill);
     int handed_over = 0;
     for (std::uint64_t part = 1; part <= 40; ++part)
     {
         daemon.send("/once/1", part, shared_tokens, unshared_tokens);
-        for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
+        for (auto const &call : daemon.advance(milliseconds(10)).proxy_calls)
         {
-            if (call.stage == relay_stage::prefill)
+            if (call.stage == proxy_stage::prefill)
             {
                 daemon.state.in.prefill_results.push_back(
                     {call.attempt, "handle"});
             }
         }
-        for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
+        for (auto const &call : daemon.advance(milliseconds(10)).proxy_calls)
         {
             ++handed_over;
             EXPECT_EQ(call.kv_handle, "handle");
@@ -100,98 +100,98 @@
     EXPECT_GT(handed_over, 5);
 }
 
-TEST(relay_placement, a_request_that_cannot_be_in_time_is_refused_at_once)
+TEST(proxy_placement, a_request_that_cannot_be_in_time_is_refused_at_once)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(1, engine_role::decode);
     outbox out;
-    for (int i = 0; i < 60 && out.relay_answers.empty(); ++i)
+    for (int i = 0; i < 60 && out.proxy_answers.empty(); ++i)
     {
         daemon.send("/once/1", 1, shared_tokens, unshared_tokens);
         out = daemon.advance(milliseconds(10));
     }
-    ASSERT_FALSE(out.relay_answers.empty());
-    EXPECT_EQ(out.relay_answers.front().code,
+    ASSERT_FALSE(out.proxy_answers.empty());
+    EXPECT_EQ(out.proxy_answers.front().code,
               result_code::deadline_unreachable);
-    EXPECT_EQ(out.relay_answers.front().status, 503);
-    EXPECT_TRUE(out.relay_answers.front().retry_after.has_value());
+    EXPECT_EQ(out.proxy_answers.front().status, 503);
+    EXPECT_TRUE(out.proxy_answers.front().retry_after.has_value());
 }
 
 // A burst of long prompts that run concurrently on one engine makes all of them
 // late, and their KV caches evict the shared parts.
-TEST(relay_placement, long_prompts_wait_for_their_engine_and_short_ones_do_not)
+TEST(proxy_placement, long_prompts_wait_for_their_engine_and_short_ones_do_not)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(1, engine_role::decode);
     std::size_t long_calls = 0;
     for (int i = 0; i < 10; ++i)
     {
         daemon.send("/once/1", 1, shared_tokens, unshared_tokens);
-        long_calls += daemon.advance(milliseconds(5)).relay_calls.size();
+        long_calls += daemon.advance(milliseconds(5)).proxy_calls.size();
     }
     EXPECT_LE(long_calls, 4U);
     daemon.send("/chat/1", 2, 0, 900);
-    EXPECT_EQ(daemon.advance(milliseconds(5)).relay_calls.size(), 1U);
+    EXPECT_EQ(daemon.advance(milliseconds(5)).proxy_calls.size(), 1U);
 }
 
-TEST(relay_placement, a_failing_endpoint_is_avoided)
+TEST(proxy_placement, a_failing_endpoint_is_avoided)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_endpoints(4);
     int failing_endpoint_calls = 0;
     for (int i = 0; i < 200; ++i)
     {
         daemon.send("/look/1");
-        for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
+        for (auto const &call : daemon.advance(milliseconds(10)).proxy_calls)
         {
             bool const bad = call.instance == "desk-1";
             failing_endpoint_calls += bad && i >= 150 ? 1 : 0;
             daemon.reply_head(call.attempt, bad ? 500 : 200);
-            daemon.reply_ends(call.attempt, relay_event_kind::finished);
+            daemon.reply_ends(call.attempt, proxy_event_kind::finished);
         }
     }
     EXPECT_LE(failing_endpoint_calls, 6);
 }
 
 /// Sets the target pause between stream events for all routes.
-void set_target_pause(relay_fixture &daemon, duration bound)
+void set_target_pause(proxy_fixture &daemon, duration bound)
 {
-    auto routing = *daemon.state.relay.routing;
+    auto routing = *daemon.state.proxy.routing;
     for (auto &route : routing.routes)
     {
-        route.target_pause = bound;
+        route.max_event_gap = bound;
     }
     routing.services.front().tokens_per_event = 7;
-    daemon.state.relay.put_routing(
+    daemon.state.proxy.set_routing(
         std::make_shared<routing_configuration const>(routing));
 }
 
 /// Sends a short prompt.
-relay_call send_short(relay_fixture &daemon, std::uint64_t part)
+proxy_call send_short(proxy_fixture &daemon, std::uint64_t part)
 {
     daemon.send("/once/1", part, 90, 290);
     auto const out = daemon.advance(milliseconds(1));
-    EXPECT_EQ(out.relay_calls.size(), 1U);
-    return out.relay_calls.empty() ? relay_call{} : out.relay_calls.front();
+    EXPECT_EQ(out.proxy_calls.size(), 1U);
+    return out.proxy_calls.empty() ? proxy_call{} : out.proxy_calls.front();
 }
 
-void send_event(relay_fixture &daemon, attempt_number stream, int event)
+void send_event(proxy_fixture &daemon, attempt_number stream, int event)
 {
     daemon.reply_bytes(stream,
                        "id: " + std::to_string(event) + "\ndata: a\n\n");
 }
 
 /// Completes a call, and the decode call that follows it after a prefill call.
-void complete_call(relay_fixture &daemon, relay_call call)
+void complete_call(proxy_fixture &daemon, proxy_call call)
 {
-    if (call.stage == relay_stage::prefill)
+    if (call.stage == proxy_stage::prefill)
     {
         daemon.state.in.prefill_results.push_back({call.attempt, "handle"});
-        call = daemon.advance(milliseconds(1)).relay_calls.at(0);
+        call = daemon.advance(milliseconds(1)).proxy_calls.at(0);
     }
     daemon.reply_head(call.attempt, 200);
     send_event(daemon, call.attempt, 1);
-    daemon.reply_ends(call.attempt, relay_event_kind::finished);
+    daemon.reply_ends(call.attempt, proxy_event_kind::finished);
     daemon.advance(milliseconds(1));
 }
 
@@ -203,7 +203,7 @@
 /// @return fraction of the short prompts that engines in prefill role prefill
 double separate_prefill_fraction(duration pause, duration bound)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(7, engine_role::decode);
     std::vector<attempt_number> streams;
     std::set<std::string> engines;
@@ -227,7 +227,7 @@
         for (int i = 0; i < 4; ++i)
         {
             auto const call = send_short(daemon, 99);
-            separate += call.stage == relay_stage::prefill ? 1 : 0;
+            separate += call.stage == proxy_stage::prefill ? 1 : 0;
             complete_call(daemon, call);
         }
     }
@@ -237,7 +237,7 @@
 // In the load further/apcm-retornos, bursts of short prompts fill the batch
 // steps of the decode engines. Without separate prefill, their streams pause
 // for 240 ms and are all late.
-TEST(relay_placement, short_prompts_are_read_apart_where_streams_pause)
+TEST(proxy_placement, short_prompts_are_read_apart_where_streams_pause)
 {
     EXPECT_GE(separate_prefill_fraction(milliseconds(240), milliseconds(150)),
               0.9);
@@ -248,25 +248,25 @@
 
 // Callers leave a stream that does not begin long before the deadline, so a
 // request that waits until the deadline is already abandoned.
-TEST(relay_placement, a_stream_is_refused_when_it_would_begin_after_its_caller)
+TEST(proxy_placement, a_stream_is_refused_when_it_would_begin_after_its_caller)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     daemon.list_engines(1, engine_role::decode);
-    daemon.state.relay.instances.find("decode-1")->unread_tokens = 110000;
+    daemon.state.proxy.instances.find("decode-1")->unread_tokens = 110000;
     daemon.send("/once/1", 1, 0, unshared_tokens);
     auto const out = daemon.advance(milliseconds(10));
-    ASSERT_EQ(out.relay_answers.size(), 1U);
-    EXPECT_EQ(out.relay_answers.front().code,
+    ASSERT_EQ(out.proxy_answers.size(), 1U);
+    EXPECT_EQ(out.proxy_answers.front().code,
               result_code::deadline_unreachable);
-    EXPECT_TRUE(out.relay_answers.front().retry_after.has_value());
+    EXPECT_TRUE(out.proxy_answers.front().retry_after.has_value());
 }
 
 /// Adds 60 daemons, so that this one stops reading engine caches.
-void join_large_fleet(relay_fixture &daemon)
+void join_large_fleet(proxy_fixture &daemon)
 {
     for (int i = 0; i < 60; ++i)
     {
-        daemon.state.relay.daemons["edge-" + std::to_string(i)] = {
+        daemon.state.proxy.daemons["edge-" + std::to_string(i)] = {
             daemon.state.now + hours(1), {}, "zone-a"};
     }
 }
@@ -274,9 +274,9 @@
 // In large deployments a daemon sees few requests for each shared part, and
 // parts are evicted before the daemon's view of a cache is refreshed. It then
 // assumes that the top-ranked engines cache a part.
-TEST(relay_placement, a_daemon_of_a_large_fleet_counts_on_the_homes_of_parts)
+TEST(proxy_placement, a_daemon_of_a_large_fleet_counts_on_the_homes_of_parts)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     join_large_fleet(daemon);
     daemon.list_engines(40, engine_role::decode);
     EXPECT_TRUE(daemon.advance(seconds(1)).cache_reads.empty());
@@ -287,14 +287,14 @@
         {
             daemon.send("/once/1", part, shared_tokens, unshared_tokens);
             auto const out = daemon.advance(milliseconds(10));
-            ASSERT_EQ(out.relay_calls.size(), 1U);
-            auto const &call = out.relay_calls.front();
+            ASSERT_EQ(out.proxy_calls.size(), 1U);
+            auto const &call = out.proxy_calls.front();
             EXPECT_EQ(
-                daemon.state.relay.requests.find(call.attempt)->unread_tokens,
+                daemon.state.proxy.requests.find(call.attempt)->unread_tokens,
                 unshared_tokens);
             places.insert(call.instance);
             daemon.reply_head(call.attempt, 200);
-            daemon.reply_ends(call.attempt, relay_event_kind::finished);
+            daemon.reply_ends(call.attempt, proxy_event_kind::finished);
             daemon.advance(milliseconds(10));
         }
         EXPECT_LE(places.size(), 2U);
@@ -303,9 +303,9 @@
 
 // Comparing all 320 engines for each choice took 5% of a core of each daemon on
 // the large deployment.
-TEST(relay_placement, a_choice_among_hundreds_of_engines_compares_a_few)
+TEST(proxy_placement, a_choice_among_hundreds_of_engines_compares_a_few)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     join_large_fleet(daemon);
     daemon.list_engines(200, engine_role::decode);
     daemon.list_engines(120, engine_role::prefill);
@@ -314,16 +314,16 @@
     {
         daemon.send("/once/1", part, shared_tokens, unshared_tokens);
         auto const out = daemon.advance(milliseconds(10));
-        ASSERT_EQ(out.relay_calls.size(), 1U);
-        auto const &call = out.relay_calls.front();
+        ASSERT_EQ(out.proxy_calls.size(), 1U);
+        auto const &call = out.proxy_calls.front();
         auto const choice = choose_instance(
-            daemon.state, *daemon.state.relay.requests.find(call.request));
+            daemon.state, *daemon.state.proxy.requests.find(call.request));
         ASSERT_TRUE(choice.has_value());
         EXPECT_LE(choice->candidates, 80);
-        if (call.stage == relay_stage::prefill)
+        if (call.stage == proxy_stage::prefill)
         {
             daemon.state.in.prefill_results.push_back({call.attempt, "handle"});
-            auto const next = daemon.advance(milliseconds(10)).relay_calls;
+            auto const next = daemon.advance(milliseconds(10)).proxy_calls;
             ASSERT_EQ(next.size(), 1U);
             EXPECT_TRUE(next.front().instance.starts_with("decode"));
             ++handed_over;
@@ -334,28 +334,28 @@
 
 // Prompts must not wait for a busy engine that caches their shared part while
 // another engine can copy the part from it.
-TEST(relay_placement, a_busy_home_lends_its_part_in_a_large_fleet)
+TEST(proxy_placement, a_busy_home_lends_its_part_in_a_large_fleet)
 {
-    relay_fixture daemon;
+    proxy_fixture daemon;
     join_large_fleet(daemon);
     daemon.list_engines(40, engine_role::decode);
     std::set<std::string> chosen_engines;
     for (int i = 0; i < 2; ++i)
     {
         daemon.send("/once/1", 5, shared_tokens, unshared_tokens);
-        for (auto const &call : daemon.advance(milliseconds(10)).relay_calls)
+        for (auto const &call : daemon.advance(milliseconds(10)).proxy_calls)
         {
             chosen_engines.insert(call.instance);
             auto &chosen_engine =
-                *daemon.state.relay.instances.find(call.instance);
-            chosen_engine.others_unread_tokens = 60000;
+                *daemon.state.proxy.instances.find(call.instance);
+            chosen_engine.peer_unread_tokens = 60000;
         }
     }
     daemon.send("/once/1", 5, shared_tokens, unshared_tokens);
     auto const out = daemon.advance(milliseconds(10));
-    ASSERT_EQ(out.relay_calls.size(), 1U);
-    EXPECT_FALSE(chosen_engines.contains(out.relay_calls.front().instance));
-    EXPECT_FALSE(out.relay_calls.front().prefix_source_address.empty());
+    ASSERT_EQ(out.proxy_calls.size(), 1U);
+    EXPECT_FALSE(chosen_engines.contains(out.proxy_calls.front().instance));
+    EXPECT_FALSE(out.proxy_calls.front().prefix_source_address.empty());
 }
 
 } // namespace
--- a/test/correctness/relay_store_test.cpp
+++ b/test/correctness/proxy_store_test.cpp
@@ -1,7 +1,7 @@
 // Guards against a daemon that learns of changes in the store too late, after
 // an outage or between two reads, and against a rate of calls to the store that
 // grows with the fleet.
-#include "relay_fixture.hpp"
+#include "proxy_fixture.hpp"
 
 #include <gtest/gtest.h>
 
@@ -21,10 +21,10 @@
 class simulated_store
 {
 public:
-    explicit simulated_store(relay_fixture &daemon) : daemon_(daemon) {}
+    explicit simulated_store(proxy_fixture &daemon) : daemon_(daemon) {}
 
     /// Start times of the daemon's reads, by table.
-    std::map<followed_table, std::vector<instant>> reads;
+    std::map<polled_table, std::vector<instant>> reads;
     /// Number of all reads and writes.
     std::size_t calls = 0;
 
@@ -40,15 +40,16 @@
             {
                 reads[read.table].push_back(daemon_.state.now);
                 open_.push_back(
-                    {read, daemon_.state.now +
-                               (unavailable ? read.timeout : read.wait)});
+                    {read,
+                     daemon_.state.now +
+                         (unavailable ? read.timeout : read.long_poll_wait)});
             }
             answer_due(unavailable);
         }
     }
 
     /// @return longest time between the starts of consecutive reads of a table
-    duration longest_gap(followed_table table) const
+    duration longest_gap(polled_table table) const
     {
         auto const &times = reads.at(table);
         duration longest{};
@@ -77,7 +78,7 @@
                           }
                           row_read_reply reply;
                           reply.table = item.read.table;
-                          reply.whole = item.read.whole;
+                          reply.full = item.read.full;
                           reply.outcome = unavailable ? row_outcome::failed
                                                       : row_outcome::answered;
                           reply.version = 1;
@@ -86,15 +87,15 @@
                       });
     }
 
-    relay_fixture &daemon_;
+    proxy_fixture &daemon_;
     std::vector<open_read> open_;
 };
 
-void join_fleet(relay_fixture &daemon, int size)
+void join_fleet(proxy_fixture &daemon, int size)
 {
     for (int i = 1; i <= size; ++i)
     {
-        daemon.state.relay.daemons["edge-" + std::to_string(i)] = {
+        daemon.state.proxy.daemons["edge-" + std::to_string(i)] = {
             daemon.state.now + hours(1), {}, "zone-a"};
     }
 }
@@ -103,47 +104,47 @@
 // connection; the next one must start within `reconnect_bound`. A daemon that
 // read again only after 4 s answered 404 for a route that had been added
 // meanwhile.
-TEST(relay_store, a_daemon_asks_again_in_time_after_an_outage)
+TEST(proxy_store, a_daemon_asks_again_in_time_after_an_outage)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
-        relay_fixture daemon;
+        proxy_fixture daemon;
         daemon.state.random = random_source(seed);
         simulated_store store(daemon);
         store.advance(seconds(5), false);
         store.reads.clear();
         store.advance(seconds(30), true);
         for (auto const table :
-             {followed_table::configuration, followed_table::instances})
+             {polled_table::configuration, polled_table::instances})
         {
             EXPECT_LT(store.longest_gap(table),
-                      daemon.state.relay.limits.reconnect_bound)
+                      daemon.state.proxy.limits.reconnect_bound)
                 << "seed " << seed;
         }
     }
 }
 
-TEST(relay_store, leaving_instances_are_seen_within_their_bound)
+TEST(proxy_store, leaving_instances_are_seen_within_their_bound)
 {
     for (auto const bound : {seconds(2), seconds(3), seconds(4)})
     {
-        relay_fixture daemon;
-        daemon.state.relay.limits.drain_bound = bound;
+        proxy_fixture daemon;
+        daemon.state.proxy.limits.drain_bound = bound;
         simulated_store store(daemon);
         store.advance(seconds(30), false);
         // The margin covers a read from a slow store, up to 0.3 s, and requests
         // that were placed before it and are still on their way.
-        EXPECT_LE(store.longest_gap(followed_table::instances),
+        EXPECT_LE(store.longest_gap(polled_table::instances),
                   bound - milliseconds(1000));
     }
 }
 
-TEST(relay_store,
+TEST(proxy_store,
      a_daemon_of_a_large_fleet_calls_the_store_less_than_once_a_second)
 {
-    relay_fixture daemon;
-    daemon.state.relay.limits.drain_bound = seconds(4);
-    daemon.state.relay.limits.reconnect_bound = seconds(5);
+    proxy_fixture daemon;
+    daemon.state.proxy.limits.drain_bound = seconds(4);
+    daemon.state.proxy.limits.reconnect_bound = seconds(5);
     join_fleet(daemon, 118);
     simulated_store store(daemon);
     store.advance(seconds(60), false);
--- a/test/correctness/role_changes_test.cpp
+++ b/test/correctness/role_changes_test.cpp
@@ -24,7 +24,7 @@
             orders.push_back(order);
             return true;
         };
-        w.hooks.plans_for = [this](world const &, std::string const &)
+        w.hooks.may_plan_for = [this](world const &, std::string const &)
         { return holds_lease; };
     }
 
--- a/test/correctness/select_engine_test.cpp
+++ b/test/correctness/select_engine_test.cpp
@@ -38,7 +38,7 @@
     auto w = make_policy_world({engine_role::mixed, engine_role::mixed});
     for (auto &engine : w.engines.all())
     {
-        engine.own_prefill_tokens = 20000;
+        engine.local_prefill_tokens = 20000;
     }
     EXPECT_FALSE(select_engine(w, make_policy_request(w, 1, 2000)));
 }
--- a/test/correctness/store_down_test.cpp
+++ b/test/correctness/store_down_test.cpp
@@ -76,7 +76,7 @@
     start.store_down = true;
     auto current = first_configuration();
     current.revision = revision_number(6);
-    put_in_force(start.state(0), current);
+    activate_configuration(start.state(0), current);
     start.run(seconds(2));
     EXPECT_EQ(start.state(1).config.revision, revision_number(6));
     EXPECT_TRUE(configuration_stale(start.state(1)));
--- a/test/correctness/stream_model_test.cpp
+++ b/test/correctness/stream_model_test.cpp
@@ -203,7 +203,7 @@
         [switches]
         {
             auto const actions =
-                *rc::gen::container<std::vector<int>>(whole_range(1 << 14));
+                *rc::gen::container<std::vector<int>>(full_range(1 << 14));
             stream_model model(switches);
             for (auto const action : actions)
             {
--- a/test/error/listener_peers_test.cpp
+++ b/test/error/listener_peers_test.cpp
@@ -73,7 +73,8 @@
                           { return deployment.requests["/v1/cancel"] == 1; }));
     EXPECT_TRUE(run_until(
         [&deployment] {
-            return deployment.daemon->callers().gate().open_connections() == 0;
+            return deployment.daemon->callers().acceptor().open_connections() ==
+                   0;
         }));
     EXPECT_EQ(deployment.daemon->state().requests.size(), 0U);
 }
@@ -105,7 +106,7 @@
         ASSERT_TRUE(client.read_until("[DONE]\n\n")) << client.received;
     }
     EXPECT_EQ(deployment.requests["/v1/generate"], 3);
-    EXPECT_EQ(deployment.daemon->callers().gate().open_connections(), 1U);
+    EXPECT_EQ(deployment.daemon->callers().acceptor().open_connections(), 1U);
 }
 
 } // namespace
--- a/test/error/listener_refusals_test.cpp
+++ b/test/error/listener_refusals_test.cpp
@@ -156,11 +156,12 @@
     raw_client second(deployment.port());
     raw_client third(deployment.port());
     EXPECT_TRUE(third.read_until_closed());
-    EXPECT_EQ(deployment.daemon->callers().gate().open_connections(), 2U);
+    EXPECT_EQ(deployment.daemon->callers().acceptor().open_connections(), 2U);
     first.close();
     EXPECT_TRUE(run_until(
         [&deployment] {
-            return deployment.daemon->callers().gate().open_connections() == 1;
+            return deployment.daemon->callers().acceptor().open_connections() ==
+                   1;
         }));
 }
 
--- a/test/error/operations_page_test.cpp
+++ b/test/error/operations_page_test.cpp
@@ -31,15 +31,16 @@
 
 std::filesystem::path const root = SOURCE_DIR;
 
-TEST(operations_page, lists_the_events_of_the_relay)
+TEST(operations_page, lists_the_events_of_the_proxy)
 {
     auto const page = text_of(root / "docs" / "OPERATIONS.md");
     std::regex const event(
         R"re("((?:request|call|caller|instance|store|daemon|configuration|retry|stop|history|prompt|log_lines)_[a-z_]+)",?\s*(?:\{\{|\\"|,|\}))re");
     for (auto const *file :
-         {"admit_relays.cpp", "advance_relays.cpp", "follow_directory.cpp",
-          "follow_store.cpp", "judge_instances.cpp", "place_relays.cpp",
-          "relay_lifecycle.cpp", "stop_relays.cpp"})
+         {"admit_proxied_requests.cpp", "advance_proxied_requests.cpp",
+          "update_directory.cpp", "poll_store.cpp", "eject_instances.cpp",
+          "place_proxied_requests.cpp", "proxy_lifecycle.cpp",
+          "stop_proxy.cpp"})
     {
         for (auto const &name : matches(text_of(root / "src" / file), event))
         {
--- a/test/error/platform_codec_test.cpp
+++ b/test/error/platform_codec_test.cpp
@@ -2,8 +2,8 @@
 // the use of invalid directory entries, configurations or replies.
 #include "directory_codec.hpp"
 #include "platform_codec.hpp"
+#include "proxy_codec.hpp"
 #include "random_source.hpp"
-#include "relay_codec.hpp"
 
 #include <gtest/gtest.h>
 
@@ -62,9 +62,9 @@
                                            {"Deadline-Ms", "700"}}));
     ASSERT_TRUE(request.ok());
     EXPECT_EQ(request->host, "a.example");
-    EXPECT_EQ(request->patience, milliseconds(700));
-    relay_call call;
-    call.content = std::make_shared<relay_request const>(*request);
+    EXPECT_EQ(request->caller_timeout, milliseconds(700));
+    proxy_call call;
+    call.content = std::make_shared<proxy_request const>(*request);
     call.instance = "i-1";
     call.time_left = milliseconds(650);
     auto const sent = codec.encode_call(call);
@@ -123,12 +123,13 @@
 TEST(platform_codec, a_reply_for_another_attempt_or_instance_is_told)
 {
     auto const codec = platform::make_codec();
-    relay_request content;
+    proxy_request content;
     content.caller_attempt = "a1";
-    relay_call call;
-    call.content = std::make_shared<relay_request const>(content);
+    proxy_call call;
+    call.content = std::make_shared<proxy_request const>(content);
     call.instance = "i-1";
-    EXPECT_TRUE(codec.decode_head(call, {200, {{"Attempt-Id", "a2"}}}).foreign);
+    EXPECT_TRUE(codec.decode_head(call, {200, {{"Attempt-Id", "a2"}}})
+                    .mismatched_attempt);
     auto const other = codec.decode_head(call, {421, {{"Instance-Id", "i-2"}}});
     EXPECT_TRUE(other.not_run);
     EXPECT_TRUE(other.wrong_instance);
@@ -164,7 +165,7 @@
     std::string const rows = R"({"rows":[{"key":"i","row_version":3,)"
                              R"("value":"e30="}],"row_version":4})";
     row_read read;
-    read.table = followed_table::instances;
+    read.table = polled_table::instances;
     for (int i = 0; i < rounds; ++i)
     {
         auto text = i % 2 == 0 ? config : rows;
--- a/test/error/result_codes_page_test.cpp
+++ b/test/error/result_codes_page_test.cpp
@@ -42,7 +42,7 @@
         auto const row = "| " + std::to_string(number) + " | `" +
                          std::string(name_of(code)) + "` | " +
                          std::to_string(http_status(code)) + " | " +
-                         (states_not_run(code) ? "yes" : "no") + " |";
+                         (guarantees_not_run(code) ? "yes" : "no") + " |";
         EXPECT_NE(page.find(row), std::string::npos) << row;
     }
     EXPECT_EQ(rows, 30);
--- a/test/performance/decision_cost_test.cpp
+++ b/test/performance/decision_cost_test.cpp
@@ -55,7 +55,7 @@
 {
     auto w = make_policy_world({engine_role::mixed});
     w.config.classes.front().may_wait = true;
-    w.engines.all().front().own_prefill_tokens = 1000000;
+    w.engines.all().front().local_prefill_tokens = 1000000;
     auto const cost = [&w]
     {
         return best_microseconds(200,
--- a/tools/capacity_bench.cpp
+++ b/tools/capacity_bench.cpp
@@ -304,7 +304,7 @@
         auto const start = cpu_seconds();
         auto const parsed = configuration_from_json(text);
         auto const parsed_at = cpu_seconds();
-        put_in_force(world_, *parsed);
+        activate_configuration(world_, *parsed);
         result_.activation_seconds = cpu_seconds() - parsed_at;
         result_.parse_seconds = parsed_at - start;
         result_.document_bytes = static_cast<double>(text.size());
--- a/tools/latency_bench.cpp
+++ b/tools/latency_bench.cpp
@@ -124,7 +124,7 @@
                 std::cerr << status.message() << "\n";
                 return;
             }
-            send_line(std::to_string(daemon.callers().gate().port()));
+            send_line(std::to_string(daemon.callers().acceptor().port()));
             run_loop();
         });
 }
