--- a/harness/bench_policies.cpp
+++ b/harness/bench_policies.cpp
@@ -235,7 +235,7 @@
             "oracle"};
 }
 
-void plug_in(bench_run &run, std::string const &policy)
+void install_policy(bench_run &run, std::string const &policy)
 {
     auto const names = policy_names();
     if (std::ranges::find(names, policy) == names.end())
@@ -259,11 +259,11 @@
     auto &first = run.deployment().daemons().front().state->hooks;
     if (policy == "threshold_roles")
     {
-        first.plan_roles = make_threshold_roles();
+        first.plan_roles = make_threshold_role_planner();
     }
     if (policy == "greedy_roles")
     {
-        first.plan_roles = make_greedy_roles();
+        first.plan_roles = make_greedy_role_planner();
     }
 }
 
--- a/harness/bench_policies.hpp
+++ b/harness/bench_policies.hpp
@@ -15,7 +15,7 @@
 /// Sets the decision hooks of every daemon for a policy other than the oracle.
 ///
 /// @throws std::invalid_argument for an unknown name
-void plug_in(bench_run &run, std::string const &policy);
+void install_policy(bench_run &run, std::string const &policy);
 
 } // namespace agateledge
 
--- a/harness/bench_run.cpp
+++ b/harness/bench_run.cpp
@@ -42,7 +42,7 @@
             static_cast<int>(load.daemons.size());
         daemon.state->hooks.order =
             [this](world & /*w*/, engine_order const &order)
-        { return orders_.take(order); };
+        { return orders_.apply(order); };
     }
 }
 
--- a/harness/bench_run.hpp
+++ b/harness/bench_run.hpp
@@ -3,7 +3,7 @@
 
 #include "bench_scenario.hpp"
 #include "bench_score.hpp"
-#include "order_board.hpp"
+#include "role_change_executor.hpp"
 #include "virtual_deployment.hpp"
 #include "workload.hpp"
 
@@ -29,7 +29,7 @@
     bench_score run();
 
     virtual_deployment &deployment() { return deployment_; }
-    order_board &orders() { return orders_; }
+    role_change_executor &orders() { return orders_; }
     bench_scenario const &scenario() const { return scenario_; }
 
     /// @return length of the answer to a request, which only the engine knows
@@ -50,8 +50,8 @@
     request_source source_;
     random_source random_;
     virtual_deployment deployment_;
-    order_board orders_;
-    score_board scores_;
+    role_change_executor orders_;
+    score_recorder scores_;
     std::unordered_map<std::uint64_t, int> lengths_;
     std::uint64_t last_booking_ = 0;
 };
--- a/harness/bench_score.cpp
+++ b/harness/bench_score.cpp
@@ -5,7 +5,7 @@
 namespace agateledge
 {
 
-score_board::score_board(configuration const &config)
+score_recorder::score_recorder(configuration const &config)
 {
     for (auto const &kind : config.classes)
     {
@@ -13,14 +13,14 @@
     }
 }
 
-void score_board::expect(request_number request, std::string const &class_name,
-                         instant now)
+void score_recorder::expect(request_number request,
+                            std::string const &class_name, instant now)
 {
     open_[request] = {&kinds_.at(class_name), now, {}, 0};
     ++classes_[class_name].requests;
 }
 
-void score_board::record(caller_reply const &reply, instant now)
+void score_recorder::record(caller_reply const &reply, instant now)
 {
     auto const found = open_.find(reply.request);
     if (found == open_.end() || reply.kind == caller_reply_kind::accepted)
@@ -49,7 +49,7 @@
     open_.erase(found);
 }
 
-void score_board::finish(progress const &request, instant now)
+void score_recorder::finish(progress const &request, instant now)
 {
     auto const &kind = *request.kind;
     auto &score = classes_[kind.name];
@@ -73,7 +73,7 @@
     wasted_tokens_ += in_time ? 0 : request.tokens;
 }
 
-bench_score score_board::total(double seconds) const
+bench_score score_recorder::total(double seconds) const
 {
     bench_score out;
     out.classes = classes_;
--- a/harness/bench_score.hpp
+++ b/harness/bench_score.hpp
@@ -52,10 +52,10 @@
 };
 
 /// Computes the score of a run from its requests and replies.
-class score_board
+class score_recorder
 {
 public:
-    explicit score_board(configuration const &config);
+    explicit score_recorder(configuration const &config);
 
     /// Registers a request to be scored.
     void expect(request_number request, std::string const &class_name,
--- a/harness/fault_schedule.cpp
+++ b/harness/fault_schedule.cpp
@@ -121,8 +121,9 @@
     }
 }
 
-std::string fault_schedule::hold(random_source &random, int &counter,
-                                 duration longest)
+std::string fault_schedule::inject_for_random_time(random_source &random,
+                                                   int &counter,
+                                                   duration longest)
 {
     auto const length = random_duration(random, longest);
     ++counter;
@@ -316,10 +317,11 @@
 {
     add("lost_write", seed,
         [this](random_source &random)
-        { return hold(random, lost_writes_, seconds(3)); });
+        { return inject_for_random_time(random, lost_writes_, seconds(3)); });
     add("store_outage", seed,
-        [this](random_source &random)
-        { return hold(random, store_outages_, seconds(12)); });
+        [this](random_source &random) {
+            return inject_for_random_time(random, store_outages_, seconds(12));
+        });
 }
 
 void fault_schedule::add_engine_faults(std::uint64_t seed)
@@ -353,7 +355,7 @@
         });
     add("event_disorder", seed,
         [this](random_source &random)
-        { return hold(random, disordered_, seconds(2)); });
+        { return inject_for_random_time(random, disordered_, seconds(2)); });
 }
 
 void fault_schedule::add_planned_changes(std::uint64_t seed)
@@ -372,7 +374,7 @@
         });
     add("lost_answer", seed,
         [this](random_source &random)
-        { return hold(random, lost_answers_, seconds(2)); });
+        { return inject_for_random_time(random, lost_answers_, seconds(2)); });
     add("engine_drain", seed,
         [this](random_source &random)
         { return drain(random, pick_engine(random)); });
@@ -403,7 +405,7 @@
 
 void fault_schedule::install_hooks()
 {
-    deployment_.on_send = [this](std::size_t, std::string const &target)
+    deployment_.on_work_sent = [this](std::size_t, std::string const &target)
     { check_not_draining(target); };
     deployment_.on_stopped = [this](std::size_t index)
     {
@@ -424,32 +426,32 @@
         return lost_writes_ > 0 && lost ? std::optional(table_outcome::unknown)
                                         : std::nullopt;
     };
-    deployment_.late_write = [this]
+    deployment_.late_write_delay = [this]
     {
         return random_.uniform() < half
                    ? duration(0)
                    : random_duration(random_, milliseconds(300));
     };
-    deployment_.event_fate = [this](engine_event const &)
+    deployment_.engine_event_fault = [this](engine_event const &)
     {
         constexpr double rare = 0.1;
-        message_fate fate;
+        message_fault fault;
         if (disordered_ > 0)
         {
-            fate.lost = random_.uniform() < rare;
-            fate.doubled = random_.uniform() < rare;
-            fate.delay = random_.uniform() < rare
-                             ? random_duration(random_, milliseconds(400))
-                             : duration(0);
+            fault.lost = random_.uniform() < rare;
+            fault.duplicated = random_.uniform() < rare;
+            fault.delay = random_.uniform() < rare
+                              ? random_duration(random_, milliseconds(400))
+                              : duration(0);
         }
-        return fate;
+        return fault;
     };
-    deployment_.answer_fate = [this](service_call const &)
+    deployment_.service_reply_fault = [this](service_call const &)
     {
-        message_fate fate;
-        fate.lost = lost_answers_ > 0 && random_.uniform() < half;
-        fate.delay = random_duration(random_, milliseconds(40));
-        return fate;
+        message_fault fault;
+        fault.lost = lost_answers_ > 0 && random_.uniform() < half;
+        fault.delay = random_duration(random_, milliseconds(40));
+        return fault;
     };
 }
 
--- a/harness/fault_schedule.hpp
+++ b/harness/fault_schedule.hpp
@@ -66,7 +66,8 @@
     /// Increments `counter` for a random time of at most `longest`.
     ///
     /// @return that time as text
-    std::string hold(random_source &random, int &counter, duration longest);
+    std::string inject_for_random_time(random_source &random, int &counter,
+                                       duration longest);
     std::size_t pick_daemon(random_source &random) const;
     std::string pick_engine(random_source &random) const;
 
--- a/harness/fixed_reply_server.cpp
+++ b/harness/fixed_reply_server.cpp
@@ -31,7 +31,8 @@
 
 } // namespace
 
-fixed_reply_server::fixed_reply_server(std::string reply, reply_ending ending)
+fixed_reply_server::fixed_reply_server(std::string reply,
+                                       connection_ending ending)
     : reply_(std::move(reply)), ending_(ending),
       listener_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
 {
@@ -101,18 +102,18 @@
         return;
     }
     send(connection_, reply_.data(), reply_.size(), MSG_NOSIGNAL);
-    if (ending_ == reply_ending::endless)
+    if (ending_ == connection_ending::endless)
     {
         send_endless_reply();
         return;
     }
-    if (ending_ == reply_ending::reset)
+    if (ending_ == connection_ending::reset)
     {
         linger const reset_on_close{1, 0};
         setsockopt(connection_, SOL_SOCKET, SO_LINGER, &reset_on_close,
                    sizeof(reset_on_close));
     }
-    if (ending_ != reply_ending::keep_open)
+    if (ending_ != connection_ending::keep_open)
     {
         close(std::exchange(connection_, -1));
     }
--- a/harness/fixed_reply_server.hpp
+++ b/harness/fixed_reply_server.hpp
@@ -10,7 +10,7 @@
 {
 
 /// What a `fixed_reply_server` does with the connection after its reply.
-enum class reply_ending
+enum class connection_ending
 {
     keep_open,
     close,
@@ -26,7 +26,7 @@
 class fixed_reply_server
 {
 public:
-    fixed_reply_server(std::string reply, reply_ending ending);
+    fixed_reply_server(std::string reply, connection_ending ending);
     ~fixed_reply_server();
     fixed_reply_server(fixed_reply_server const &) = delete;
     fixed_reply_server &operator=(fixed_reply_server const &) = delete;
@@ -45,7 +45,7 @@
     void send_endless_reply();
 
     std::string reply_;
-    reply_ending ending_;
+    connection_ending ending_;
     int listener_ = -1;
     int connection_ = -1;
     std::atomic<std::size_t> bytes_sent_ = 0;
--- a/harness/randomised_run.cpp
+++ b/harness/randomised_run.cpp
@@ -74,7 +74,7 @@
 
 } // namespace
 
-run_result run_randomly(run_options const &options)
+run_result run_randomised(run_options const &options)
 {
     assertion_scope const scope;
     random_source random(options.seed);
@@ -88,7 +88,8 @@
     }
     deployment.store_configuration();
     virtual_callers callers(deployment, example, random());
-    fault_schedule faults(deployment, callers, random(), options.without);
+    fault_schedule faults(deployment, callers, random(),
+                          options.excluded_faults);
     run_result result;
     try
     {
@@ -117,8 +118,8 @@
     for (auto const &kind : fault_schedule::kinds())
     {
         auto smaller = options;
-        smaller.without.insert(kind);
-        auto const result = run_randomly(smaller);
+        smaller.excluded_faults.insert(kind);
+        auto const result = run_randomised(smaller);
         if (!result.violation.empty())
         {
             smaller.steps = result.steps;
--- a/harness/randomised_run.hpp
+++ b/harness/randomised_run.hpp
@@ -21,7 +21,7 @@
     /// "kerbrat" or "bellhaven".
     std::string deployment = "kerbrat";
     /// Kinds of fault that are not injected.
-    std::set<std::string> without;
+    std::set<std::string> excluded_faults;
     /// Mechanisms that are disabled in every daemon.
     fault_switches switches;
 };
@@ -39,7 +39,7 @@
 
 /// Runs several daemons with callers and faults in virtual time, and checks the
 /// replies to callers against the effects that took place.
-run_result run_randomly(run_options const &options);
+run_result run_randomised(run_options const &options);
 
 /// Reduces a failing run: excludes each kind of fault in turn if the run still
 /// fails without it, and ends the run at the violation.
--- a/harness/raw_client.cpp
+++ b/harness/raw_client.cpp
@@ -14,7 +14,7 @@
 namespace agateledge
 {
 
-bool run_until(std::function<bool()> const &done, duration limit)
+bool run_main_context_until(std::function<bool()> const &done, duration limit)
 {
     auto const end = std::chrono::steady_clock::now() + limit;
     while (!done())
@@ -79,7 +79,7 @@
 bool raw_client::read_until(std::string_view text, duration limit)
 {
     std::size_t searched_bytes = 0;
-    return run_until(
+    return run_main_context_until(
         [this, text, &searched_bytes]
         {
             read_available();
@@ -93,7 +93,7 @@
 
 bool raw_client::read_until_closed(duration limit)
 {
-    return run_until(
+    return run_main_context_until(
         [this]
         {
             read_available();
@@ -116,8 +116,8 @@
     }
 }
 
-std::string http_text(std::string_view method, std::string_view path,
-                      std::string_view headers, std::string_view body)
+std::string make_http_request(std::string_view method, std::string_view path,
+                              std::string_view headers, std::string_view body)
 {
     std::string text(method);
     text.append(" ").append(path).append(" HTTP/1.1\r\nHost: localhost\r\n");
--- a/harness/raw_client.hpp
+++ b/harness/raw_client.hpp
@@ -13,7 +13,8 @@
 /// Runs the default main context until `done` returns true.
 ///
 /// @return false on a time-out after `limit`
-bool run_until(std::function<bool()> const &done, duration limit = seconds(5));
+bool run_main_context_until(std::function<bool()> const &done,
+                            duration limit = seconds(5));
 
 /// Client that sends arbitrary bytes on a socket, which need not be valid HTTP.
 /// It runs in the same thread as the daemon under test and runs the default
@@ -62,8 +63,8 @@
 
 /// @param headers header lines, each with its line end
 /// @return bytes of an HTTP/1.1 request with `body` and its Content-Length
-std::string http_text(std::string_view method, std::string_view path,
-                      std::string_view headers, std::string_view body);
+std::string make_http_request(std::string_view method, std::string_view path,
+                              std::string_view headers, std::string_view body);
 
 } // namespace agateledge
 
--- a/harness/role_baselines.cpp
+++ b/harness/role_baselines.cpp
@@ -124,12 +124,12 @@
 
 } // namespace
 
-std::function<void(world &)> make_threshold_roles()
+std::function<void(world &)> make_threshold_role_planner()
 {
     return every_interval(plan_by_threshold);
 }
 
-std::function<void(world &)> make_greedy_roles()
+std::function<void(world &)> make_greedy_role_planner()
 {
     return every_interval(plan_greedily);
 }
--- a/harness/order_board.cpp
+++ b/harness/role_change_executor.cpp
@@ -1,4 +1,4 @@
-#include "order_board.hpp"
+#include "role_change_executor.hpp"
 
 namespace agateledge
 {
@@ -12,20 +12,21 @@
 
 } // namespace
 
-bool order_board::take(engine_order const &order)
+bool role_change_executor::apply(engine_order const &order)
 {
     if (open_.contains(order.engine))
     {
         return false;
     }
     open_[order.engine] = {order, deployment_.now(), false};
-    mark(order.engine, true);
+    set_changing(order.engine, true);
     deployment_.at(deployment_.now() + poll_interval,
                    [this, name = order.engine] { poll(name); });
     return true;
 }
 
-void order_board::mark(std::string const &engine, bool changing)
+void role_change_executor::set_changing(std::string const &engine,
+                                        bool changing)
 {
     for (auto &daemon : deployment_.daemons())
     {
@@ -35,7 +36,7 @@
     }
 }
 
-void order_board::poll(std::string const &engine)
+void role_change_executor::poll(std::string const &engine)
 {
     auto &change = open_.at(engine);
     auto &model = *deployment_.engines().at(engine).model;
@@ -60,7 +61,7 @@
     {
         time_unavailable_ += now - change.begun;
         open_.erase(engine);
-        mark(engine, false);
+        set_changing(engine, false);
         return;
     }
     deployment_.at(now + poll_interval, [this, engine] { poll(engine); });
--- a/harness/order_board.hpp
+++ b/harness/role_change_executor.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_ORDER_BOARD_HPP
-#define AGATELEDGE_ORDER_BOARD_HPP
+#ifndef AGATELEDGE_ROLE_CHANGE_EXECUTOR_HPP
+#define AGATELEDGE_ROLE_CHANGE_EXECUTOR_HPP
 
 #include "engine_order.hpp"
 #include "virtual_deployment.hpp"
@@ -14,10 +14,10 @@
 /// the engine, sends the order and readmits work once the engine is ready. It
 /// replaces the order records in the table service, which the bench does not
 /// measure.
-class order_board
+class role_change_executor
 {
 public:
-    explicit order_board(virtual_deployment &deployment)
+    explicit role_change_executor(virtual_deployment &deployment)
         : deployment_(deployment)
     {
     }
@@ -25,7 +25,7 @@
     /// Starts a role change.
     ///
     /// @return false when a change of the engine is already in progress
-    bool take(engine_order const &order);
+    bool apply(engine_order const &order);
 
     int changes() const { return changes_; }
 
@@ -40,7 +40,7 @@
         bool sent = false;
     };
 
-    void mark(std::string const &engine, bool changing);
+    void set_changing(std::string const &engine, bool changing);
     void poll(std::string const &engine);
 
     virtual_deployment &deployment_;
--- a/harness/edge_deployment.cpp
+++ b/harness/scripted_deployment.cpp
@@ -1,4 +1,4 @@
-#include "edge_deployment.hpp"
+#include "scripted_deployment.hpp"
 
 #include "internal_assert.hpp"
 #include "json_text.hpp"
@@ -11,7 +11,7 @@
 namespace
 {
 
-settings make_settings(edge_deployment const &deployment)
+settings make_settings(scripted_deployment const &deployment)
 {
     settings config;
     config.name = "daemon-1";
@@ -51,7 +51,7 @@
         "data: {\"kind\":\"chunk\",\"offset\":1,\"tokens\":2,\"text\":\"t1 t2 "
         "\"}\n\n"
         "data: {\"kind\":\"finished\",\"offset\":3}\n\n";
-    http_script::answer(message, 200, events);
+    scripted_http_server::answer(message, 200, events);
 }
 
 Json::Value row_to_json(table_row const &row)
@@ -92,38 +92,39 @@
     json["rows"] = Json::arrayValue;
     std::ranges::for_each(reply.rows, [&json](table_row const &row)
                           { json["rows"].append(row_to_json(row)); });
-    http_script::answer(message, 200, json_to_text(json));
+    scripted_http_server::answer(message, 200, json_to_text(json));
 }
 
 } // namespace
 
-edge_deployment::edge_deployment(std::function<void(settings &)> const &adjust)
+scripted_deployment::scripted_deployment(
+    std::function<void(settings &)> const &adjust)
 {
     on_generate = [](SoupServerMessage *message, std::string const &,
                      std::string const &) { generate_three_tokens(message); };
-    on_service =
+    on_service_request =
         [](SoupServerMessage *message, std::string const &, std::string const &)
-    { http_script::answer(message, 200, "{\"seat\":12}"); };
-    engine = std::make_unique<http_script>(
+    { scripted_http_server::answer(message, 200, "{\"seat\":12}"); };
+    engine = std::make_unique<scripted_http_server>(
         [this](SoupServerMessage *message, std::string const &path,
                std::string const &body)
         {
-            ++requests[path];
+            ++request_counts[path];
             if (path == "/v1/generate")
             {
                 on_generate(message, path, body);
                 return;
             }
-            http_script::answer(message, 404, "{}");
+            scripted_http_server::answer(message, 404, "{}");
         });
-    service = std::make_unique<http_script>(
+    service = std::make_unique<scripted_http_server>(
         [this](SoupServerMessage *message, std::string const &path,
                std::string const &body)
         {
-            ++requests[path];
-            on_service(message, path, body);
+            ++request_counts[path];
+            on_service_request(message, path, body);
         });
-    table = std::make_unique<http_script>(
+    table = std::make_unique<scripted_http_server>(
         [this](SoupServerMessage *message, std::string const &,
                std::string const &body) { answer_table(rows, message, body); });
     auto config = make_settings(*this);
@@ -136,15 +137,16 @@
     internal_assert(status.ok(), status.ToString());
 }
 
-std::string edge_deployment::call(std::string_view method,
-                                  std::string_view path,
-                                  std::string_view headers,
-                                  std::string_view body, std::string_view until)
+std::string scripted_deployment::call(std::string_view method,
+                                      std::string_view path,
+                                      std::string_view headers,
+                                      std::string_view body,
+                                      std::string_view until)
 {
     raw_client client(port());
     std::string all(caller_headers);
     all += headers;
-    client.send(http_text(method, path, all, body));
+    client.send(make_http_request(method, path, all, body));
     client.read_until(until);
     return client.received;
 }
--- a/harness/edge_deployment.hpp
+++ b/harness/scripted_deployment.hpp
@@ -1,9 +1,9 @@
-#ifndef AGATELEDGE_EDGE_DEPLOYMENT_HPP
-#define AGATELEDGE_EDGE_DEPLOYMENT_HPP
+#ifndef AGATELEDGE_SCRIPTED_DEPLOYMENT_HPP
+#define AGATELEDGE_SCRIPTED_DEPLOYMENT_HPP
 
 #include "daemon_process.hpp"
-#include "http_script.hpp"
 #include "raw_client.hpp"
+#include "scripted_http_server.hpp"
 #include "standin_table.hpp"
 
 #include <functional>
@@ -17,11 +17,11 @@
 /// One daemon with an engine, a plain service and a table service, on loopback
 /// ports and the default main context. The test sets the answers of the engine
 /// and of the service; the table service is a stand-in.
-class edge_deployment
+class scripted_deployment
 {
 public:
     /// @param adjust changes the settings before the daemon starts
-    explicit edge_deployment(
+    explicit scripted_deployment(
         std::function<void(settings &)> const &adjust = {});
 
     /// @return port of the callers' listener
@@ -37,16 +37,16 @@
 
     /// Handles POST /v1/generate; by default generates the three tokens
     /// "t0 t1 t2 ".
-    http_script::handler on_generate;
+    scripted_http_server::handler on_generate;
     /// Handles calls of the plain service; by default answers {"seat":12}.
-    http_script::handler on_service;
+    scripted_http_server::handler on_service_request;
     /// Number of requests that the engine and the service received, by path.
-    std::map<std::string, int> requests;
+    std::map<std::string, int> request_counts;
     /// Content of the table service.
     standin_table rows;
-    std::unique_ptr<http_script> engine;
-    std::unique_ptr<http_script> service;
-    std::unique_ptr<http_script> table;
+    std::unique_ptr<scripted_http_server> engine;
+    std::unique_ptr<scripted_http_server> service;
+    std::unique_ptr<scripted_http_server> table;
     std::unique_ptr<daemon_process> daemon;
 };
 
--- a/harness/http_script.cpp
+++ b/harness/scripted_http_server.cpp
@@ -1,4 +1,4 @@
-#include "http_script.hpp"
+#include "scripted_http_server.hpp"
 
 #include <utility>
 
@@ -29,7 +29,7 @@
 
 } // namespace
 
-http_script::http_script(handler on_request)
+scripted_http_server::scripted_http_server(handler on_request)
     : on_request_(std::move(on_request)),
       server_(soup_server_new(nullptr, nullptr))
 {
@@ -38,8 +38,8 @@
         [](SoupServer *, SoupServerMessage *message, char const *path,
            GHashTable *, gpointer self)
         {
-            static_cast<http_script *>(self)->on_request_(message, path,
-                                                          body_of(message));
+            static_cast<scripted_http_server *>(self)->on_request_(
+                message, path, body_of(message));
         },
         this, nullptr);
     soup_server_listen_local(server_.get(), 0, SOUP_SERVER_LISTEN_IPV4_ONLY,
@@ -47,18 +47,18 @@
     address_ = address_of(server_.get());
 }
 
-http_script::~http_script()
+scripted_http_server::~scripted_http_server()
 {
     stop();
 }
 
-void http_script::stop()
+void scripted_http_server::stop()
 {
     soup_server_disconnect(server_.get());
 }
 
-void http_script::answer(SoupServerMessage *message, int status,
-                         std::string const &body)
+void scripted_http_server::answer(SoupServerMessage *message, int status,
+                                  std::string const &body)
 {
     soup_server_message_set_status(message, static_cast<guint>(status),
                                    nullptr);
--- a/harness/http_script.hpp
+++ b/harness/scripted_http_server.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_HTTP_SCRIPT_HPP
-#define AGATELEDGE_HTTP_SCRIPT_HPP
+#ifndef AGATELEDGE_SCRIPTED_HTTP_SERVER_HPP
+#define AGATELEDGE_SCRIPTED_HTTP_SERVER_HPP
 
 #include "gobject_ptr.hpp"
 
@@ -12,7 +12,7 @@
 {
 
 /// HTTP server on a loopback port whose answers are set by the test.
-class http_script
+class scripted_http_server
 {
 public:
     /// Called for each request; sets the answer or pauses the message.
@@ -20,10 +20,10 @@
         std::function<void(SoupServerMessage *message, std::string const &path,
                            std::string const &body)>;
 
-    explicit http_script(handler on_request);
-    ~http_script();
-    http_script(http_script const &) = delete;
-    http_script &operator=(http_script const &) = delete;
+    explicit scripted_http_server(handler on_request);
+    ~scripted_http_server();
+    scripted_http_server(scripted_http_server const &) = delete;
+    scripted_http_server &operator=(scripted_http_server const &) = delete;
 
     /// @return IP address and port
     std::string const &address() const { return address_; }
--- a/harness/virtual_callers.cpp
+++ b/harness/virtual_callers.cpp
@@ -1,7 +1,7 @@
 #include "virtual_callers.hpp"
 
 #include "internal_assert.hpp"
-#include "standin_text.hpp"
+#include "standin_answer.hpp"
 #include "virtual_deployment.hpp"
 
 #include <algorithm>
@@ -161,7 +161,7 @@
     }
     if (alive.empty())
     {
-        try_again(index, seconds(1));
+        schedule_retry(index, seconds(1));
         return;
     }
     auto const daemon = alive.at(random_.below(alive.size()));
@@ -193,9 +193,9 @@
                            watch_progress(number, item.progress);
                            return;
                        }
-                       deployment_.depart(item.daemon, number);
+                       deployment_.disconnect_caller(item.daemon, number);
                        close(number);
-                       try_again(item.call, milliseconds(100));
+                       schedule_retry(item.call, milliseconds(100));
                    });
 }
 
@@ -216,7 +216,7 @@
     }
 }
 
-void virtual_callers::try_again(std::size_t index, duration delay)
+void virtual_callers::schedule_retry(std::size_t index, duration delay)
 {
     deployment_.at(deployment_.now() + delay, [this, index] { send(index); });
 }
@@ -234,7 +234,7 @@
         internal_assert(!planned, "planned stop of daemon ", daemon,
                         " cut request ", number.value());
         close(number);
-        try_again(item.call, milliseconds(50 + random_.below(2000)));
+        schedule_retry(item.call, milliseconds(50 + random_.below(2000)));
     }
 }
 
@@ -247,8 +247,8 @@
         if (call.kind == call_kind::model && call.accepted &&
             random_.below(4) == 0)
         {
-            deployment_.depart(item.daemon, number);
-            try_again(item.call, milliseconds(random_.below(500)));
+            deployment_.disconnect_caller(item.daemon, number);
+            schedule_retry(item.call, milliseconds(random_.below(500)));
             close(number);
             return;
         }
@@ -374,7 +374,7 @@
     query.booking_tries_at_query = calls_.at(booking).tries;
     calls_.push_back(std::move(query));
     ++open_calls_;
-    try_again(calls_.size() - 1, milliseconds(1));
+    schedule_retry(calls_.size() - 1, milliseconds(1));
 }
 
 void virtual_callers::handle_outcome(caller_call const &query,
@@ -399,7 +399,7 @@
     auto &call = calls_.at(index);
     if (call.kind == call_kind::model && call.accepted)
     {
-        try_again(index, milliseconds(100 + random_.below(1000)));
+        schedule_retry(index, milliseconds(100 + random_.below(1000)));
         return;
     }
     internal_assert(reply.code != result_code::idempotency_key_reused,
@@ -409,7 +409,7 @@
                          reply.code == result_code::daemon_draining;
     if (retries && call.tries < max_booking_tries && random_.below(5) != 0)
     {
-        try_again(index, milliseconds(50 + random_.below(3000)));
+        schedule_retry(index, milliseconds(50 + random_.below(3000)));
         return;
     }
     if (call.kind == call_kind::booking && !call.ended)
--- a/harness/virtual_callers.hpp
+++ b/harness/virtual_callers.hpp
@@ -111,7 +111,7 @@
     void watch_progress(request_number request, std::uint64_t progress);
     void close(request_number request);
     void end_call(caller_call &call);
-    void try_again(std::size_t call, duration delay);
+    void schedule_retry(std::size_t call, duration delay);
     void handle_reply(std::size_t daemon, caller_reply const &reply);
     void handle_chunk(caller_try &item, caller_reply const &reply);
     void handle_finished(caller_try &item, caller_reply const &reply);
--- a/harness/virtual_deployment.cpp
+++ b/harness/virtual_deployment.cpp
@@ -62,7 +62,7 @@
     {
         auto &engine = engines_[definition.name];
         engine.model = std::make_unique<standin_engine>(
-            standin_options_of(definition, random_()));
+            make_standin_options(definition, random_()));
         engine.data_centre = definition.data_centre;
     }
     for (auto const &data_centre : daemons)
@@ -149,7 +149,8 @@
     }
 }
 
-void virtual_deployment::depart(std::size_t index, request_number request)
+void virtual_deployment::disconnect_caller(std::size_t index,
+                                           request_number request)
 {
     daemons_[index].state->in.caller_disconnects.push_back({request});
     plan_tick(index, now_);
@@ -275,7 +276,7 @@
         return;
     }
     tick(*daemon.state, now_);
-    carry_out(index);
+    dispatch_outbox(index);
     if (daemon.alive && daemon.state->next_wake)
     {
         plan_tick(index,
@@ -283,7 +284,7 @@
     }
 }
 
-void virtual_deployment::carry_out(std::size_t index)
+void virtual_deployment::dispatch_outbox(std::size_t index)
 {
     auto const out = std::exchange(daemons_[index].state->out, {});
     for (auto const &reply : out.caller_replies)
@@ -335,9 +336,9 @@
 void virtual_deployment::send_engine_call(std::size_t daemon,
                                           engine_call const &call)
 {
-    if (on_send && !call.attach)
+    if (on_work_sent && !call.attach)
     {
-        on_send(daemon, call.engine);
+        on_work_sent(daemon, call.engine);
     }
     at(now_ + delay_to(daemon, engines_.at(call.engine).data_centre),
        [this, origin = origin_of(daemon), call]
@@ -432,19 +433,21 @@
                                        standin_event event)
 {
     auto const message = to_engine_event(reader.attempt, std::move(event));
-    auto const fate = event_fate ? event_fate(message) : message_fate();
+    auto const fault =
+        engine_event_fault ? engine_event_fault(message) : message_fault();
     if (is_cut(data_centre_of(reader.origin.daemon), data_centre))
     {
         return;
     }
-    auto const delay = delay_to(reader.origin.daemon, data_centre) + fate.delay;
+    auto const delay =
+        delay_to(reader.origin.daemon, data_centre) + fault.delay;
     auto const put = [message](inbox &in)
     { in.engine_events.push_back(message); };
-    if (!fate.lost)
+    if (!fault.lost)
     {
         deliver(reader.origin, delay, put);
     }
-    if (fate.doubled)
+    if (fault.duplicated)
     {
         deliver(reader.origin, delay * 2, put);
     }
@@ -471,7 +474,7 @@
 void virtual_deployment::plan_step(std::string const &name)
 {
     auto &engine = engines_.at(name);
-    auto const next = engine.model->next_step();
+    auto const next = engine.model->step_ends_at();
     if (!next || engine.planned_step <= *next)
     {
         return;
@@ -507,7 +510,7 @@
         }
         if (engine.reachable)
         {
-            if (event_fate)
+            if (engine_event_fault)
             {
                 deliver_event(engine.data_centre, target, event);
                 continue;
@@ -587,9 +590,9 @@
     auto const endpoint =
         state.endpoints.at(*state.endpoints.find(call.endpoint)).definition;
     auto const request = state.attempts.find(call.attempt)->request;
-    if (on_send)
+    if (on_work_sent)
     {
-        on_send(daemon, call.endpoint);
+        on_work_sent(daemon, call.endpoint);
     }
     at(now_ + delay_to(daemon, endpoint.data_centre),
        [this, origin = origin_of(daemon), request, call, endpoint]
@@ -622,9 +625,10 @@
     {
         on_service_effect(origin.daemon, request, call);
     }
-    auto const fate = answer_fate ? answer_fate(call) : message_fate();
-    auto const after = delay + delays_.service_time + fate.delay;
-    if (fate.lost || after > call.timeout)
+    auto const fault =
+        service_reply_fault ? service_reply_fault(call) : message_fault();
+    auto const after = delay + delays_.service_time + fault.delay;
+    if (fault.lost || after > call.timeout)
     {
         reply.kind = service_reply_kind::failed_after_send;
         put(call.timeout);
@@ -658,10 +662,10 @@
     bool const lost =
         fault.value_or(table_outcome::committed) == table_outcome::unknown;
     table_reply reply;
-    bool const write_lost = lost && table_loses && table_loses(call);
-    if (lost && !write_lost && late_write)
+    bool const write_lost = lost && lose_table_write && lose_table_write(call);
+    if (lost && !write_lost && late_write_delay)
     {
-        at(now_ + late_write(), [this, call] { table_.apply(call); });
+        at(now_ + late_write_delay(), [this, call] { table_.apply(call); });
     }
     else if (!fault || (lost && !write_lost))
     {
--- a/harness/virtual_deployment.hpp
+++ b/harness/virtual_deployment.hpp
@@ -56,10 +56,10 @@
 };
 
 /// Fault that is applied to one message; by default none.
-struct message_fate
+struct message_fault
 {
     bool lost = false;
-    bool doubled = false;
+    bool duplicated = false;
     /// Added to the delay of the message.
     duration delay{};
 };
@@ -124,7 +124,7 @@
     void submit(std::size_t daemon, request_arrival arrival);
 
     /// Reports to a daemon that the caller of a request closed its connection.
-    void depart(std::size_t daemon, request_number request);
+    void disconnect_caller(std::size_t daemon, request_number request);
 
     /// Terminates a daemon immediately; its unsent output is lost.
     void kill(std::size_t daemon);
@@ -175,7 +175,7 @@
 
     /// Hook for writes whose answer is lost: returns true when the write is
     /// lost too and has no effect.
-    std::function<bool(table_call const &)> table_loses;
+    std::function<bool(table_call const &)> lose_table_write;
 
     /// The platform's list of hosts, which is reported to every daemon; nothing
     /// is reported while it is empty.
@@ -206,7 +206,8 @@
 
     /// Called when a daemon sends a new engine call or a service call; not for
     /// attaching to a stream.
-    std::function<void(std::size_t daemon, std::string const &target)> on_send;
+    std::function<void(std::size_t daemon, std::string const &target)>
+        on_work_sent;
 
     /// Called when a service has executed a call.
     std::function<void(std::size_t daemon, request_number,
@@ -214,14 +215,14 @@
         on_service_effect;
 
     /// Hook that returns the fault for an engine event sent to a daemon.
-    std::function<message_fate(engine_event const &)> event_fate;
+    std::function<message_fault(engine_event const &)> engine_event_fault;
 
     /// Hook that returns the fault for a service's answer.
-    std::function<message_fate(service_call const &)> answer_fate;
+    std::function<message_fault(service_call const &)> service_reply_fault;
 
     /// Hook that returns the delay after which a write with a lost answer takes
     /// effect.
-    std::function<duration()> late_write;
+    std::function<duration()> late_write_delay;
 
     /// Called with the world of a started daemon before its first tick.
     std::function<void(world &)> on_start;
@@ -253,7 +254,7 @@
     void plan_tick(std::size_t daemon, instant when);
     void check_tick(std::size_t daemon, instant when);
     void run_tick(std::size_t daemon);
-    void carry_out(std::size_t daemon);
+    void dispatch_outbox(std::size_t daemon);
     void start(std::size_t daemon);
     virtual_origin origin_of(std::size_t daemon) const;
     std::string const &data_centre_of(std::size_t daemon) const;
--- a/src/admit_proxied_requests.cpp
+++ b/src/admit_proxied_requests.cpp
@@ -114,7 +114,7 @@
          {"time_ms", milliseconds_text(request.expires_at - w.now)}});
 }
 
-void leave(world &w, proxy_disconnect const &departure)
+void handle_disconnect(world &w, proxy_disconnect const &departure)
 {
     auto *request = w.proxy.requests.find(departure.request);
     if (request == nullptr)
@@ -144,7 +144,7 @@
                           { admit(w, arrival); });
     std::ranges::for_each(w.in.proxy_disconnects,
                           [&w](proxy_disconnect const &departure)
-                          { leave(w, departure); });
+                          { handle_disconnect(w, departure); });
 }
 
 } // namespace agateledge
--- a/src/advance_proxied_requests.cpp
+++ b/src/advance_proxied_requests.cpp
@@ -62,8 +62,8 @@
 /// @param arrived the failed call reached an instance, so that the next one
 ///        counts against the retry budget
 /// @param pause back-off before the next call
-void try_again(world &w, request_number number, bool arrived, duration pause,
-               std::string const &reason)
+void retry_or_fail(world &w, request_number number, bool arrived,
+                   duration pause, std::string const &reason)
 {
     auto *request = w.proxy.requests.find(number);
     if (request == nullptr)
@@ -84,8 +84,8 @@
     fail_proxied_request(w, number, reason);
 }
 
-void call_failed(world &w, proxy_attempt const &attempt, bool sent,
-                 std::string const &reason)
+void handle_call_failure(world &w, proxy_attempt const &attempt, bool sent,
+                         std::string const &reason)
 {
     auto const number = attempt.request;
     auto const instance = attempt.instance;
@@ -111,11 +111,11 @@
     // The handle may have been used, so it is not offered again; an unused KV
     // cache expires on the engine that holds it.
     request->retained_prefill.reset();
-    try_again(w, number, sent, duration(0), reason);
+    retry_or_fail(w, number, sent, duration(0), reason);
 }
 
-void call_refused(world &w, proxy_attempt const &attempt,
-                  proxy_reply_head const &head)
+void handle_call_refusal(world &w, proxy_attempt const &attempt,
+                         proxy_reply_head const &head)
 {
     auto const number = attempt.request;
     auto const id = attempt.instance;
@@ -140,29 +140,30 @@
     request->runs -= prefill ? 0 : 1;
     request->prefill_failed |= prefill || request->retained_prefill.has_value();
     release_kept_prefill(w, *request);
-    try_again(w, number, true, refusal_backoff,
-              "the instance refused the call with status " +
-                  std::to_string(head.status));
+    retry_or_fail(w, number, true, refusal_backoff,
+                  "the instance refused the call with status " +
+                      std::to_string(head.status));
 }
 
-void take_head(world &w, proxy_attempt const &attempt,
-               std::shared_ptr<proxy_reply_head const> const &head)
+void handle_reply_head(world &w, proxy_attempt const &attempt,
+                       std::shared_ptr<proxy_reply_head const> const &head)
 {
     if (head->mismatched_attempt)
     {
-        call_failed(w, attempt, true, "the reply belongs to another request");
+        handle_call_failure(w, attempt, true,
+                            "the reply belongs to another request");
         return;
     }
     if (head->not_run)
     {
-        call_refused(w, attempt, *head);
+        handle_call_refusal(w, attempt, *head);
         return;
     }
     if (is_success(head->status) && !head->is_signed &&
         attempt.stage == proxy_stage::run)
     {
-        call_failed(w, attempt, true,
-                    "the reply is not signed by the instance");
+        handle_call_failure(w, attempt, true,
+                            "the reply is not signed by the instance");
         return;
     }
     if (auto *request = w.proxy.requests.find(attempt.request))
@@ -244,7 +245,8 @@
     w.out.proxy_answers.push_back(std::move(answer));
 }
 
-void take_bytes(world &w, proxy_attempt &attempt, std::string const &bytes)
+void handle_reply_bytes(world &w, proxy_attempt &attempt,
+                        std::string const &bytes)
 {
     auto *request = w.proxy.requests.find(attempt.request);
     if (request == nullptr || !request->head)
@@ -264,7 +266,8 @@
     if (request->partial_event.size() > max_event_bytes ||
         request->body.size() > max_answer_bytes)
     {
-        call_failed(w, attempt, true, "the reply exceeds the size limit");
+        handle_call_failure(w, attempt, true,
+                            "the reply exceeds the size limit");
     }
 }
 
@@ -319,18 +322,19 @@
     forward_complete_answer(w, request);
 }
 
-void take_end(world &w, proxy_attempt &attempt)
+void handle_reply_end(world &w, proxy_attempt &attempt)
 {
     auto *request = w.proxy.requests.find(attempt.request);
     if (request == nullptr || !request->head)
     {
-        call_failed(w, attempt, true, "the reply ended before its head");
+        handle_call_failure(w, attempt, true,
+                            "the reply ended before its head");
         return;
     }
     if (is_stream(*request) && !request->partial_event.empty())
     {
-        call_failed(w, attempt, true,
-                    "the stream ended in the middle of an event");
+        handle_call_failure(w, attempt, true,
+                            "the stream ended in the middle of an event");
         return;
     }
     record_first_bytes(w, attempt);
@@ -363,19 +367,20 @@
     switch (event.kind)
     {
     case proxy_event_kind::head:
-        take_head(w, *attempt, event.head);
+        handle_reply_head(w, *attempt, event.head);
         return;
     case proxy_event_kind::bytes:
-        take_bytes(w, *attempt, event.bytes);
+        handle_reply_bytes(w, *attempt, event.bytes);
         return;
     case proxy_event_kind::finished:
-        take_end(w, *attempt);
+        handle_reply_end(w, *attempt);
         return;
     case proxy_event_kind::failed_before_send:
-        call_failed(w, *attempt, false, "could not connect to the instance");
+        handle_call_failure(w, *attempt, false,
+                            "could not connect to the instance");
         return;
     case proxy_event_kind::failed_after_send:
-        call_failed(
+        handle_call_failure(
             w, *attempt, true,
             "the connection failed after the request may have been sent");
         return;
@@ -393,7 +398,8 @@
     auto const *instance = w.proxy.instances.find(attempt->instance);
     if (request == nullptr || instance == nullptr || result.handle.empty())
     {
-        call_failed(w, *attempt, true, "the prefill reply has no KV handle");
+        handle_call_failure(w, *attempt, true,
+                            "the prefill reply has no KV handle");
         return;
     }
     record_first_bytes(w, *attempt);
--- a/src/apply_configuration.cpp
+++ b/src/apply_configuration.cpp
@@ -287,7 +287,7 @@
 
 } // namespace
 
-void use_initial_configuration(world &w, configuration initial)
+void apply_initial_configuration(world &w, configuration initial)
 {
     w.initial_config = initial;
     initial.revision = revision_number();
--- a/src/apply_configuration.hpp
+++ b/src/apply_configuration.hpp
@@ -24,7 +24,7 @@
 /// non-idempotent calls, which need a confirmed revision, are refused until
 /// then. The table service gets this configuration as its first revision if it
 /// has none.
-void use_initial_configuration(world &w, configuration initial);
+void apply_initial_configuration(world &w, configuration initial);
 
 /// Records that the revision in force was the current one at `when`. An earlier
 /// time than the recorded one has no effect.
--- a/src/choose_instance.cpp
+++ b/src/choose_instance.cpp
@@ -71,7 +71,7 @@
 constexpr double prefill_rank_weight = 2;
 
 /// @return true for an engine in decode role that accepts new work
-bool decodes(instance_state const *instance)
+bool is_available_decoder(instance_state const *instance)
 {
     auto const &definition = instance->definition;
     return definition.role == engine_role::decode && definition.accepts_work;
@@ -87,7 +87,7 @@
     /// `order` limited to `max_rank`, for the cost.
     int rank = 0;
     /// The engine receives KV caches computed by other engines.
-    bool receives = false;
+    bool receives_handovers = false;
 };
 
 /// @return number of engines that receive KV caches computed by other engines:
@@ -102,7 +102,8 @@
     {
         return 0;
     }
-    auto const decoding = std::ranges::count_if(instances, decodes);
+    auto const decoding =
+        std::ranges::count_if(instances, is_available_decoder);
     return static_cast<int>(
         std::ceil(receiver_share * static_cast<double>(decoding)));
 }
@@ -132,8 +133,8 @@
 
 /// Eligible instances. Instances that the request was already sent to are
 /// returned only when there are no others; ejected ones are never eligible.
-std::vector<candidate> candidates_of(world const &w,
-                                     proxied_request const &request)
+std::vector<candidate> eligible_candidates(world const &w,
+                                           proxied_request const &request)
 {
     auto const &instances = w.proxy.instances.of_service(request.service);
     auto receivers_left = count_receivers(instances);
@@ -141,7 +142,8 @@
     std::vector<candidate> retried;
     for (auto const *instance : instances)
     {
-        bool const receives = decodes(instance) && receivers_left-- > 0;
+        bool const receives_handovers =
+            is_available_decoder(instance) && receivers_left-- > 0;
         if (!is_eligible(w, request, *instance))
         {
             continue;
@@ -150,7 +152,7 @@
         bool const already_tried =
             std::ranges::find(tried, instance->definition.id) != tried.end();
         (already_tried ? retried : untried)
-            .push_back({instance, {}, {}, 0, 0, receives});
+            .push_back({instance, {}, {}, 0, 0, receives_handovers});
     }
     return untried.empty() ? retried : untried;
 }
@@ -172,9 +174,10 @@
     int order = 0;
     for (auto const &[score, item] : scores)
     {
-        item->order = item->receives ? static_cast<int>(scores.size()) : order;
+        item->order =
+            item->receives_handovers ? static_cast<int>(scores.size()) : order;
         item->rank = std::min(item->order, max_rank);
-        order += item->receives ? 0 : 1;
+        order += item->receives_handovers ? 0 : 1;
     }
 }
 
@@ -212,17 +215,18 @@
     auto const &near = handover_data_centre(w, request);
     bool const any_near = std::ranges::any_of(
         candidates, [&near](candidate const &item)
-        { return item.receives && is_in_data_centre(near, item); });
-    std::erase_if(
-        candidates,
-        [&](candidate const &item)
-        {
-            bool const first = (!request.retained_prefill || !any_near) &&
-                               item.order < max_ranked_candidates;
-            bool const receives =
-                item.receives && (!any_near || is_in_data_centre(near, item));
-            return !first && !receives;
-        });
+        { return item.receives_handovers && is_in_data_centre(near, item); });
+    std::erase_if(candidates,
+                  [&](candidate const &item)
+                  {
+                      bool const first =
+                          (!request.retained_prefill || !any_near) &&
+                          item.order < max_ranked_candidates;
+                      bool const receives_handovers =
+                          item.receives_handovers &&
+                          (!any_near || is_in_data_centre(near, item));
+                      return !first && !receives_handovers;
+                  });
 }
 
 /// @return predicted time until an engine continues a prompt that another one
@@ -230,7 +234,7 @@
 duration handover_cost(candidate const &item)
 {
     return item.prediction.wait + handover_time +
-           (item.receives ? duration(0) : non_receiver_cost);
+           (item.receives_handovers ? duration(0) : non_receiver_cost);
 }
 
 /// @return minimum hand-over cost over the engines that decode;
@@ -331,7 +335,8 @@
     item.cost = prediction.time +
                 from_seconds(copied_token_cost_s * prediction.copied_tokens) +
                 rank_cost * item.rank;
-    if (item.receives && !request.retained_prefill && request.content->prompt)
+    if (item.receives_handovers && !request.retained_prefill &&
+        request.content->prompt)
     {
         item.cost += from_seconds(
             receiver_prefill_cost_factor * prediction.unread_tokens /
@@ -398,7 +403,7 @@
 std::optional<instance_choice> choose_instance(world &w,
                                                proxied_request const &request)
 {
-    auto candidates = candidates_of(w, request);
+    auto candidates = eligible_candidates(w, request);
     rank_candidates(request, candidates);
     limit_candidates(w, request, candidates);
     auto const source = polls_caches(w)
--- a/src/daemon_loop.cpp
+++ b/src/daemon_loop.cpp
@@ -101,11 +101,11 @@
 void daemon_loop::run_tick()
 {
     tick(state_, std::max(clock_now(), state_.now));
-    carry_out();
+    dispatch_outbox();
     schedule_wake();
 }
 
-void daemon_loop::carry_out()
+void daemon_loop::dispatch_outbox()
 {
     auto const out = std::exchange(state_.out, {});
     for_each_item(out.log_entries, handlers.write_log);
--- a/src/daemon_loop.hpp
+++ b/src/daemon_loop.hpp
@@ -68,7 +68,7 @@
     void schedule_now();
     void schedule_wake();
     void run_tick();
-    void carry_out();
+    void dispatch_outbox();
 
     world &state_;
     unsigned idle_source_ = 0;
--- a/src/daemon_process.cpp
+++ b/src/daemon_process.cpp
@@ -114,7 +114,7 @@
     {
         return keys;
     }
-    use_initial_configuration(state_, config_.initial);
+    apply_initial_configuration(state_, config_.initial);
     auto listening = callers_.start(config_.caller_address, config_.caller_tls);
     listening.Update(start_peer_listener());
     if (!config_.operators.empty())
--- a/src/eject_instances.cpp
+++ b/src/eject_instances.cpp
@@ -23,8 +23,8 @@
 constexpr double failure_rate_margin = 0.25;
 
 /// Duration of the first ejection and the upper limit; it doubles each time.
-constexpr duration first_pause = seconds(1);
-constexpr duration longest_pause = seconds(4);
+constexpr duration first_ejection_time = seconds(1);
+constexpr duration max_ejection_time = seconds(4);
 
 struct service_health
 {
@@ -64,8 +64,8 @@
         return;
     }
     health.ejection_time =
-        std::clamp(health.ejection_time * 2, duration(first_pause),
-                   duration(longest_pause));
+        std::clamp(health.ejection_time * 2, duration(first_ejection_time),
+                   duration(max_ejection_time));
     health.ejected_until = w.now + health.ejection_time;
     ++sum.ejected;
     log_proxied_request(
--- a/src/engine_client.cpp
+++ b/src/engine_client.cpp
@@ -102,7 +102,7 @@
     if (found != streams_.end())
     {
         auto const item = found->second;
-        forget(*item);
+        remove_stream(*item);
         http_.cancel(item->call);
     }
     Json::Value json;
@@ -193,7 +193,7 @@
     }
     if (event->kind != engine_event_kind::chunk)
     {
-        forget(item);
+        remove_stream(item);
     }
     loop_.input().engine_events.push_back(*std::move(event));
     return true;
@@ -220,11 +220,11 @@
     engine_event event;
     event.attempt = item.attempt;
     event.kind = kind;
-    forget(item);
+    remove_stream(item);
     loop_.input().engine_events.push_back(std::move(event));
 }
 
-void engine_client::forget(stream const &item)
+void engine_client::remove_stream(stream const &item)
 {
     auto const key = attempts_by_key_.find(item.key);
     if (key != attempts_by_key_.end() && key->second == item.attempt)
--- a/src/engine_client.hpp
+++ b/src/engine_client.hpp
@@ -58,7 +58,7 @@
     bool on_data(stream &item, std::string_view data);
     void on_end(stream &item, http_outcome outcome);
     void finish_stream(stream &item, engine_event_kind kind);
-    void forget(stream const &item);
+    void remove_stream(stream const &item);
 
     http_client &http_;
     daemon_loop &loop_;
--- a/src/load_client.cpp
+++ b/src/load_client.cpp
@@ -4,7 +4,7 @@
 #include "json_log.hpp"
 #include "json_text.hpp"
 #include "sse_reader.hpp"
-#include "standin_text.hpp"
+#include "standin_answer.hpp"
 
 #include <glib.h>
 
--- a/src/load_settings.cpp
+++ b/src/load_settings.cpp
@@ -24,11 +24,11 @@
     {
         return;
     }
-    auto reader = root.below(*table, "listen");
+    auto reader = root.subtable(*table, "listen");
     reader.read_address("callers", out.caller_address);
     reader.read_address("operators", out.operator_address);
     reader.read_address("peers", out.peer_address);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_tls_listener(settings_reader &parent, char const *key,
@@ -39,10 +39,10 @@
     {
         return;
     }
-    auto reader = parent.below(*table, key);
+    auto reader = parent.subtable(*table, key);
     reader.read("certificate_file", out.certificate_file, true);
     reader.read("key_file", out.key_file, true);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_tls(settings_reader &root, settings &out)
@@ -52,10 +52,10 @@
     {
         return;
     }
-    auto reader = root.below(*table, "tls");
+    auto reader = root.subtable(*table, "tls");
     read_tls_listener(reader, "callers", out.caller_tls);
     read_tls_listener(reader, "operators", out.operator_tls);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_platform(settings_reader &root, settings &out)
@@ -67,12 +67,12 @@
                     "is missing; must be a table with the key `table`");
         return;
     }
-    auto reader = root.below(*table, "platform");
+    auto reader = root.subtable(*table, "platform");
     reader.read_address("table", out.table_address, true);
     reader.read_address("object_store", out.object_store_address);
     reader.read_address("weight_store", out.weight_store_address);
     reader.read_address("membership", out.membership_address);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_keys(settings_reader &root, settings &out)
@@ -82,10 +82,10 @@
     {
         return;
     }
-    auto reader = root.below(*table, "keys");
+    auto reader = root.subtable(*table, "keys");
     reader.read("request_file", out.request_key_file);
     reader.read("peer_file", out.peer_key_file);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_limits(settings_reader &root, listener_limits &out)
@@ -96,26 +96,26 @@
     {
         return;
     }
-    auto reader = root.below(*table, "limits");
+    auto reader = root.subtable(*table, "limits");
     reader.read("max_body_bytes", out.max_body_bytes, 1024, max_bytes);
     reader.read("max_header_bytes", out.max_header_bytes, 1024, max_bytes);
     reader.read("max_connections", out.max_connections, 1, max_count);
     reader.read_milliseconds("request_timeout_ms", out.request_timeout);
     reader.read("max_buffered_bytes", out.max_buffered_bytes, 1024, max_bytes);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
-void read_store(settings_reader &root, store_limits &out)
+void read_store(settings_reader &root, table_service_limits &out)
 {
     auto const *table = root.table("store");
     if (table == nullptr)
     {
         return;
     }
-    auto reader = root.below(*table, "store");
+    auto reader = root.subtable(*table, "store");
     reader.read("writes_per_second", out.writes_per_second, 1.0, max_rate);
     reader.read("reads_per_second", out.reads_per_second, 1.0, max_rate);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_policy(settings_reader &root, policy_settings &out)
@@ -125,14 +125,14 @@
     {
         return;
     }
-    auto reader = root.below(*table, "policy");
+    auto reader = root.subtable(*table, "policy");
     reader.read("role_change_weight", out.role_change_weight, 0.0, max_rate);
     reader.read("role_changes_per_hour", out.role_changes_per_hour, 0,
                 max_count);
     reader.read_milliseconds("role_horizon_ms", out.role_horizon);
     reader.read("retry_share", out.retry_share, 0.0, 1.0);
     reader.read_milliseconds("drain_timeout_ms", out.drain_timeout);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 std::string indexed_key(char const *key, std::size_t position)
@@ -148,10 +148,10 @@
     auto const tables = root.tables(key);
     for (std::size_t i = 0; i < tables.size(); ++i)
     {
-        auto reader = root.below(*tables[i], indexed_key(key, i));
+        auto reader = root.subtable(*tables[i], indexed_key(key, i));
         Item item;
         read(reader, item);
-        reader.finish();
+        reader.report_unknown_keys();
         out.push_back(std::move(item));
     }
 }
@@ -269,11 +269,11 @@
     auto const tables = root.tables("engine_group");
     for (std::size_t i = 0; i < tables.size(); ++i)
     {
-        auto reader = root.below(*tables[i], indexed_key("engine_group", i));
+        auto reader = root.subtable(*tables[i], indexed_key("engine_group", i));
         auto const group = read_group(reader);
         engine_definition pattern;
         read_engine_fields(reader, pattern);
-        reader.finish();
+        reader.report_unknown_keys();
         expand_group(group, pattern, out);
     }
 }
@@ -370,7 +370,7 @@
     read_limits(root, out.limits);
     read_store(root, out.store);
     read_configuration(root, out.initial);
-    root.finish();
+    root.report_unknown_keys();
     check_consistency(root, out);
 }
 
--- a/src/query_table.hpp
+++ b/src/operator_query_state.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_QUERY_TABLE_HPP
-#define AGATELEDGE_QUERY_TABLE_HPP
+#ifndef AGATELEDGE_OPERATOR_QUERY_STATE_HPP
+#define AGATELEDGE_OPERATOR_QUERY_STATE_HPP
 
 #include "configuration_sections.hpp"
 #include "decision_ring.hpp"
@@ -27,7 +27,7 @@
 
 /// Operator statements that wait for the table service, and the data that only
 /// answers to operators use.
-class query_table
+class operator_query_state
 {
 public:
     decision_ring decisions;
--- a/src/place_proxied_requests.cpp
+++ b/src/place_proxied_requests.cpp
@@ -144,7 +144,7 @@
                         service_tokens_per_ms(w, service) / 1e3);
 }
 
-void wait(world &w, proxied_request const &request, queued_tokens &queued)
+void requeue(world &w, proxied_request const &request, queued_tokens &queued)
 {
     queued[request.service] += request.waiting_tokens;
     w.proxy.waiting.push_back(request.number);
@@ -178,7 +178,7 @@
     {
         request.waiting_tokens = choice->prediction.unread_tokens;
         request.not_before = w.now + comparison_interval;
-        wait(w, request, queued);
+        requeue(w, request, queued);
         return;
     }
     request.waiting_tokens = 0;
@@ -200,7 +200,7 @@
         auto const &request = *w.proxy.requests.find(number);
         if (request.not_before > w.now)
         {
-            wait(w, request, queued);
+            requeue(w, request, queued);
             continue;
         }
         place(w, number, queued);
--- a/src/proxy_metrics_text.cpp
+++ b/src/proxy_metrics_text.cpp
@@ -46,7 +46,7 @@
 
 /// @return seconds since the table was last confirmed; -1 before its first full
 ///         read
-double age_of(world const &w, polled_table table)
+double table_age_s(world const &w, polled_table table)
 {
     auto const &follower =
         w.proxy.table_polls.at(static_cast<std::size_t>(table));
@@ -88,9 +88,9 @@
     write_value(out, "configuration_version", "gauge",
                 static_cast<double>(proxy.routing->version));
     write_value(out, "configuration_age_seconds", "gauge",
-                age_of(w, polled_table::configuration));
+                table_age_s(w, polled_table::configuration));
     write_value(out, "directory_age_seconds", "gauge",
-                age_of(w, polled_table::instances));
+                table_age_s(w, polled_table::instances));
     write_latency(out, "queued_seconds", metrics.queued);
     write_latency(out, "first_event_seconds", metrics.first_event);
     write_latency(out, "late_by_seconds", metrics.late_by);
--- a/src/proxy_settings.cpp
+++ b/src/proxy_settings.cpp
@@ -20,13 +20,13 @@
         root.report("listen", "is missing");
         return;
     }
-    auto reader = root.below(*table, "listen");
+    auto reader = root.subtable(*table, "listen");
     reader.read_address("callers", out.caller_address, true);
     reader.read_address("readiness", out.readiness_address, true);
     reader.read_address("metrics", out.metrics_address, true);
     reader.read("metrics_path", out.metrics_path);
     reader.read_address("peers", out.peer_address);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_store(settings_reader &root, proxy_settings &out)
@@ -37,9 +37,9 @@
         root.report("store", "is missing");
         return;
     }
-    auto reader = root.below(*table, "store");
+    auto reader = root.subtable(*table, "store");
     reader.read_address("address", out.store_address, true);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_limits(settings_reader &root, proxy_settings &out)
@@ -49,13 +49,13 @@
     {
         return;
     }
-    auto reader = root.below(*table, "limits");
+    auto reader = root.subtable(*table, "limits");
     reader.read("max_descriptors", out.max_descriptors, 64,
                 max_descriptors_limit);
     reader.read_seconds("shutdown_grace_s", out.limits.shutdown_grace);
     reader.read_milliseconds("drain_bound_ms", out.limits.drain_bound);
     reader.read_milliseconds("reconnect_bound_ms", out.limits.reconnect_bound);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_retries(settings_reader &root, proxy_settings &out)
@@ -65,12 +65,12 @@
     {
         return;
     }
-    auto reader = root.below(*table, "retries");
+    auto reader = root.subtable(*table, "retries");
     auto &retries = out.limits.retries;
     reader.read("share", retries.share, 0.0, max_retry_share);
     reader.read("extra", retries.extra, 0.0, max_extra_retries);
     reader.read_seconds("window_s", retries.window);
-    reader.finish();
+    reader.report_unknown_keys();
 }
 
 void read_settings(settings_reader &root, proxy_settings &out)
@@ -83,7 +83,7 @@
     read_store(root, out);
     read_limits(root, out);
     read_retries(root, out);
-    root.finish();
+    root.report_unknown_keys();
 }
 
 } // namespace
--- a/src/run_dev.cpp
+++ b/src/run_dev.cpp
@@ -157,7 +157,7 @@
         {
             role_changes += daemon->state().totals.role_changes;
         }
-        auto const duplicates = fleet_.doubled_bookings();
+        auto const duplicates = fleet_.duplicate_booking_count();
         Json::Value out;
         out["requests"] = totals.requests;
         out["answered"] = totals.answered;
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -57,12 +57,12 @@
 };
 
 /// Rate limits of this daemon's calls to the table service.
-struct store_limits
+struct table_service_limits
 {
     double writes_per_second = 60;
     double reads_per_second = 200;
 
-    auto operator<=>(store_limits const &) const = default;
+    auto operator<=>(table_service_limits const &) const = default;
 };
 
 /// Settings of one daemon, read from its TOML file.
@@ -90,7 +90,7 @@
     std::vector<peer_settings> peers;
     std::vector<operator_settings> operators;
     listener_limits limits;
-    store_limits store;
+    table_service_limits store;
     /// Configuration that is written as revision 1 when the table service has
     /// none.
     configuration initial;
--- a/src/settings_reader.cpp
+++ b/src/settings_reader.cpp
@@ -245,13 +245,13 @@
     return out;
 }
 
-settings_reader settings_reader::below(toml::table const &table,
-                                       std::string const &key) const
+settings_reader settings_reader::subtable(toml::table const &table,
+                                          std::string const &key) const
 {
     return {table, file_, full_key(key), faults_};
 }
 
-void settings_reader::finish()
+void settings_reader::report_unknown_keys()
 {
     for (auto const &[key, node] : table_)
     {
--- a/src/settings_reader.hpp
+++ b/src/settings_reader.hpp
@@ -68,15 +68,15 @@
 
     /// @return a reader for a table nested in this one; it shares the list of
     ///         errors
-    settings_reader below(toml::table const &table,
-                          std::string const &key) const;
+    settings_reader subtable(toml::table const &table,
+                             std::string const &key) const;
 
     /// Adds an error with the line of `key`, or of the table when the key is
     /// absent.
     void report(char const *key, std::string const &text);
 
     /// Reports the keys of the table that were not read as unknown.
-    void finish();
+    void report_unknown_keys();
 
 private:
     toml::node const *find(char const *key);
--- a/src/standin_text.cpp
+++ b/src/standin_answer.cpp
@@ -1,4 +1,4 @@
-#include "standin_text.hpp"
+#include "standin_answer.hpp"
 
 #include "random_source.hpp"
 
--- a/src/standin_text.hpp
+++ b/src/standin_answer.hpp
@@ -1,5 +1,5 @@
-#ifndef AGATELEDGE_STANDIN_TEXT_HPP
-#define AGATELEDGE_STANDIN_TEXT_HPP
+#ifndef AGATELEDGE_STANDIN_ANSWER_HPP
+#define AGATELEDGE_STANDIN_ANSWER_HPP
 
 #include <cstdint>
 #include <string>
--- a/src/standin_engine.cpp
+++ b/src/standin_engine.cpp
@@ -1,6 +1,6 @@
 #include "standin_engine.hpp"
 
-#include "standin_text.hpp"
+#include "standin_answer.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -31,8 +31,8 @@
 
 } // namespace
 
-standin_engine_options standin_options_of(engine_definition const &definition,
-                                          std::uint64_t seed)
+standin_engine_options make_standin_options(engine_definition const &definition,
+                                            std::uint64_t seed)
 {
     standin_engine_options options;
     options.name = definition.name;
@@ -138,7 +138,7 @@
         return order_outcome::refused_generation;
     }
     highest_fencing_ = std::max(highest_fencing_, order.fencing);
-    effects_.push_back(order);
+    applied_orders_.push_back(order);
     ++generation_;
     options_before_order_ = {options_.role, options_.model,
                              options_.model_version};
--- a/src/standin_engine.hpp
+++ b/src/standin_engine.hpp
@@ -58,8 +58,8 @@
 /// @param definition engine that the stand-in replaces
 /// @param seed seed of the stand-in's random choices
 /// @return options with the default speeds
-standin_engine_options standin_options_of(engine_definition const &definition,
-                                          std::uint64_t seed);
+standin_engine_options make_standin_options(engine_definition const &definition,
+                                            std::uint64_t seed);
 
 /// Work sent to an engine stand-in.
 struct standin_work
@@ -120,7 +120,7 @@
     order_outcome order(engine_order const &order, instant now);
 
     /// @return the time at which the current step ends, if one runs
-    std::optional<instant> next_step() const { return step_ends_at_; }
+    std::optional<instant> step_ends_at() const { return step_ends_at_; }
 
     /// Completes the steps that end by `now` and appends their events to
     /// `events`.
@@ -145,7 +145,10 @@
                              int block_tokens) const;
 
     /// Applied orders, oldest first.
-    std::vector<engine_order> const &effects() const { return effects_; }
+    std::vector<engine_order> const &applied_orders() const
+    {
+        return applied_orders_;
+    }
 
     std::int64_t prefilled_tokens() const { return prefilled_tokens_; }
     std::int64_t generated_tokens() const { return generated_tokens_; }
@@ -203,7 +206,7 @@
     std::string last_order_;
     /// Id of the order before `last_order_`, restored by `undo_order`.
     std::string previous_order_;
-    std::vector<engine_order> effects_;
+    std::vector<engine_order> applied_orders_;
     /// Block hashes in the prefix cache, least recently used first.
     std::list<std::uint64_t> cache_lru_;
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
--- a/src/standin_engine_server.cpp
+++ b/src/standin_engine_server.cpp
@@ -313,7 +313,7 @@
 
 void standin_engine_server::schedule_step()
 {
-    auto const next = model_.next_step();
+    auto const next = model_.step_ends_at();
     if (timer_source_ != 0 || !next)
     {
         return;
--- a/src/standin_fleet.cpp
+++ b/src/standin_fleet.cpp
@@ -73,7 +73,7 @@
     for (auto &definition : config.initial.engines)
     {
         auto server = std::make_unique<standin_engine_server>(
-            standin_options_of(definition, ++seed_));
+            make_standin_options(definition, ++seed_));
         auto status = listen(*server, definition.address, free_ports);
         if (!status.ok())
         {
@@ -113,11 +113,11 @@
     platform_.set_hosts(std::move(hosts));
 }
 
-int standin_fleet::doubled_bookings() const
+int standin_fleet::duplicate_booking_count() const
 {
     return std::accumulate(services_.begin(), services_.end(), 0,
                            [](int sum, auto const &service)
-                           { return sum + service.second.doubled(); });
+                           { return sum + service.second.duplicate_count(); });
 }
 
 } // namespace agateledge
--- a/src/standin_fleet.hpp
+++ b/src/standin_fleet.hpp
@@ -39,7 +39,7 @@
     absl::Status start(settings &config, bool free_ports);
 
     /// @return number of bookings with more than one effect
-    int doubled_bookings() const;
+    int duplicate_booking_count() const;
 
     std::map<std::string, standin_service> const &services() const
     {
--- a/src/standin_service.cpp
+++ b/src/standin_service.cpp
@@ -11,20 +11,20 @@
 {
     if (method != "POST")
     {
-        auto const found = effects_.find(key);
-        auto const count = found == effects_.end() ? 0 : found->second;
+        auto const found = effect_counts_.find(key);
+        auto const count = found == effect_counts_.end() ? 0 : found->second;
         return {200, R"({"status":"confirmed","effects":)" +
                          std::to_string(count) + "}"};
     }
-    ++effects_[key];
+    ++effect_counts_[key];
     return {201, R"({"booking":")" + key + R"(","bytes":)" +
                      std::to_string(body.size()) + "}"};
 }
 
-int standin_service::doubled() const
+int standin_service::duplicate_count() const
 {
     return static_cast<int>(std::ranges::count_if(
-        effects_, [](auto const &effect) { return effect.second > 1; }));
+        effect_counts_, [](auto const &effect) { return effect.second > 1; }));
 }
 
 } // namespace agateledge
--- a/src/standin_service.hpp
+++ b/src/standin_service.hpp
@@ -31,13 +31,16 @@
                           std::string const &body);
 
     /// @return number of effects by idempotency key
-    std::map<std::string, int> const &effects() const { return effects_; }
+    std::map<std::string, int> const &effect_counts() const
+    {
+        return effect_counts_;
+    }
 
     /// @return number of keys with more than one effect
-    int doubled() const;
+    int duplicate_count() const;
 
 private:
-    std::map<std::string, int> effects_;
+    std::map<std::string, int> effect_counts_;
 };
 
 } // namespace agateledge
--- a/src/standin_service_server.cpp
+++ b/src/standin_service_server.cpp
@@ -64,7 +64,7 @@
     std::shared_ptr<http_exchange> const &request) const
 {
     Json::Value out(Json::objectValue);
-    for (auto const &[key, count] : model_.effects())
+    for (auto const &[key, count] : model_.effect_counts())
     {
         out[key] = count;
     }
--- a/src/table_client.cpp
+++ b/src/table_client.cpp
@@ -56,7 +56,7 @@
 } // namespace
 
 table_client::table_client(http_client &http, daemon_loop &loop,
-                           std::string address, store_limits limits)
+                           std::string address, table_service_limits limits)
     : http_(http), loop_(loop), address_(std::move(address)),
       write_budget_(limits.writes_per_second,
                     limits.writes_per_second * burst_seconds),
--- a/src/table_client.hpp
+++ b/src/table_client.hpp
@@ -30,7 +30,7 @@
     /// @param address IP address and port of the table service
     /// @param limits rate limits of this daemon
     table_client(http_client &http, daemon_loop &loop, std::string address,
-                 store_limits limits);
+                 table_service_limits limits);
     ~table_client();
     table_client(table_client const &) = delete;
     table_client &operator=(table_client const &) = delete;
--- a/src/world.hpp
+++ b/src/world.hpp
@@ -21,12 +21,12 @@
 #include "inbox.hpp"
 #include "latency_window.hpp"
 #include "lease_table.hpp"
+#include "operator_query_state.hpp"
 #include "order_table.hpp"
 #include "outbox.hpp"
 #include "peer_table.hpp"
 #include "prefix_view.hpp"
 #include "proxy_state.hpp"
-#include "query_table.hpp"
 #include "random_source.hpp"
 #include "request_table.hpp"
 #include "retry_budget.hpp"
@@ -96,7 +96,7 @@
     role_plan plan;
     prefix_view prefixes;
     usage_table usage;
-    query_table queries;
+    operator_query_state queries;
     counters totals;
     proxy_state proxy;
     fault_switches faults;
--- a/test/correctness/booking_model_test.cpp
+++ b/test/correctness/booking_model_test.cpp
@@ -30,13 +30,13 @@
         deployment_.store_configuration();
         deployment_.table_fault = [this](std::size_t, table_call const &call)
         { return fault_of(call); };
-        deployment_.answer_fate = [this](service_call const &)
+        deployment_.service_reply_fault = [this](service_call const &)
         {
-            message_fate fate;
-            fate.lost = lose_answers_;
-            return fate;
+            message_fault fault;
+            fault.lost = lose_answers_;
+            return fault;
         };
-        deployment_.late_write = [] { return milliseconds(120); };
+        deployment_.late_write_delay = [] { return milliseconds(120); };
         deployment_.on_service_effect =
             [this](std::size_t, request_number request, service_call const &)
         { record_effect(request); };
--- a/test/correctness/configuration_model.cpp
+++ b/test/correctness/configuration_model.cpp
@@ -53,7 +53,7 @@
 {
     deployment_.table_fault = [this](std::size_t, table_call const &call)
     { return table_fault_for(call); };
-    deployment_.table_loses = [this](table_call const &)
+    deployment_.lose_table_write = [this](table_call const &)
     { return deployment_.random().below(2) == 0; };
     deployment_.daemon_reachable = [this](std::size_t from, std::size_t to)
     {
--- a/test/correctness/disabled_mechanism_test.cpp
+++ b/test/correctness/disabled_mechanism_test.cpp
@@ -19,7 +19,7 @@
         run_options options;
         options.seed = seed;
         options.switches = switches;
-        auto const result = run_randomly(options);
+        auto const result = run_randomised(options);
         if (!result.violation.empty())
         {
             return result.violation;
--- a/test/correctness/drain_before_order_test.cpp
+++ b/test/correctness/drain_before_order_test.cpp
@@ -3,7 +3,7 @@
 // outlast the drain must be completed by another engine.
 #include "renew_leases.hpp"
 #include "request_order.hpp"
-#include "standin_text.hpp"
+#include "standin_answer.hpp"
 #include "virtual_deployment.hpp"
 
 #include <gtest/gtest.h>
--- a/test/correctness/http_path_test.cpp
+++ b/test/correctness/http_path_test.cpp
@@ -1,6 +1,6 @@
 // Tests the path from an HTTP caller through the network adapters: a streamed
 // answer, an answer as one document, and a booking.
-#include "edge_deployment.hpp"
+#include "scripted_deployment.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 
 TEST(http_path, streams_an_answer_as_server_sent_events)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     auto const text = deployment.call(
         "POST", chat, "",
         R"({"model":"manual","stream":true,"messages":[{"role":"user",)"
@@ -29,7 +29,7 @@
 
 TEST(http_path, answers_with_one_document)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     auto const text = deployment.call(
         "POST", "/v1/completions", "",
         R"({"model":"manual","prompt":"where is hall 4?"})", "total_tokens");
@@ -39,7 +39,7 @@
 
 TEST(http_path, runs_a_booking_once_for_a_repeated_key)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     auto const book = [&deployment]
     {
         return deployment.call("POST", "/v1/services/desk/book",
@@ -48,7 +48,7 @@
     };
     EXPECT_NE(book().find("{\"seat\":12}"), std::string::npos);
     EXPECT_NE(book().find("{\"seat\":12}"), std::string::npos);
-    EXPECT_EQ(deployment.requests["/book"], 1);
+    EXPECT_EQ(deployment.request_counts["/book"], 1);
 }
 
 } // namespace
--- a/test/correctness/order_model.cpp
+++ b/test/correctness/order_model.cpp
@@ -43,7 +43,7 @@
 {
     deployment_.table_fault = [this](std::size_t, table_call const &call)
     { return fault_of(call); };
-    deployment_.table_loses = [this](table_call const &)
+    deployment_.lose_table_write = [this](table_call const &)
     { return deployment_.random().below(2) == 0; };
     deployment_.order_copies = [this](engine_order const &order)
     {
@@ -252,7 +252,7 @@
     for (auto const &[name, engine] : deployment_.engines())
     {
         auto &view = views_[name];
-        auto const &effects = engine.model->effects();
+        auto const &effects = engine.model->applied_orders();
         for (; view.effects < effects.size(); ++view.effects)
         {
             auto const &order = effects[view.effects];
--- a/test/correctness/resumed_request_ends_test.cpp
+++ b/test/correctness/resumed_request_ends_test.cpp
@@ -15,7 +15,7 @@
     run_options options;
     options.deployment = deployment;
     options.seed = seed;
-    return run_randomly(options).violation;
+    return run_randomised(options).violation;
 }
 
 TEST(resumed_request_ends, at_kerbrat)
--- a/test/correctness/store_down_test.cpp
+++ b/test/correctness/store_down_test.cpp
@@ -33,7 +33,7 @@
         for (auto &daemon : deployment.daemons())
         {
             daemon.state->config_sync = {};
-            use_initial_configuration(*daemon.state, first_configuration());
+            apply_initial_configuration(*daemon.state, first_configuration());
         }
         deployment.table_fault = [this](std::size_t, table_call const &)
         {
--- a/test/correctness/stream_model_test.cpp
+++ b/test/correctness/stream_model_test.cpp
@@ -4,7 +4,7 @@
 // events.
 #include "example_deployment.hpp"
 #include "fixed_seed_check.hpp"
-#include "standin_text.hpp"
+#include "standin_answer.hpp"
 #include "virtual_deployment.hpp"
 
 #include <algorithm>
@@ -36,14 +36,14 @@
         deployment_.store_configuration();
         deployment_.output_tokens = [](engine_call const &)
         { return answer_tokens; };
-        deployment_.event_fate = [this](engine_event const &)
+        deployment_.engine_event_fault = [this](engine_event const &)
         {
-            message_fate fate;
+            message_fault fault;
             auto const turn = disordered_ ? ++events_ % 8 : 0;
-            fate.lost = turn == 3;
-            fate.doubled = turn == 5;
-            fate.delay = milliseconds(turn == 7 ? 60 : 0);
-            return fate;
+            fault.lost = turn == 3;
+            fault.duplicated = turn == 5;
+            fault.delay = milliseconds(turn == 7 ? 60 : 0);
+            return fault;
         };
         deployment_.on_reply = [this](std::size_t, caller_reply const &reply)
         { check_reply(reply); };
@@ -177,7 +177,8 @@
         auto const index = choice % streams_.size();
         if (!streams_[index].ended)
         {
-            deployment_.depart(streams_[index].daemon, streams_[index].request);
+            deployment_.disconnect_caller(streams_[index].daemon,
+                                          streams_[index].request);
             send(index, 1 - streams_[index].daemon);
         }
     }
--- a/test/correctness/whole_path_test.cpp
+++ b/test/correctness/whole_path_test.cpp
@@ -1,6 +1,6 @@
 // Tests the path from arrival to answer: a model request must be answered
 // completely and a booking must be executed once.
-#include "standin_text.hpp"
+#include "standin_answer.hpp"
 #include "virtual_deployment.hpp"
 
 #include <gtest/gtest.h>
@@ -80,7 +80,7 @@
     }
     ASSERT_EQ(bodies.size(), 2U);
     EXPECT_EQ(bodies[0], bodies[1]);
-    EXPECT_EQ(deployment.services()["desk"].effects().at("stand-12"), 1);
+    EXPECT_EQ(deployment.services()["desk"].effect_counts().at("stand-12"), 1);
 }
 
 } // namespace
--- a/test/error/endless_reply_test.cpp
+++ b/test/error/endless_reply_test.cpp
@@ -21,7 +21,7 @@
 void expect_bounded(std::string const &begin,
                     http_outcome outcome = http_outcome::failed_after_send)
 {
-    fixed_reply_server const server(begin, reply_ending::endless);
+    fixed_reply_server const server(begin, connection_ending::endless);
     http_client client(connection_reuse::single_call);
     std::optional<http_reply> got;
     http_request request;
@@ -30,10 +30,10 @@
     request.total_timeout = seconds(30);
     request.new_connection = true;
     client.send(request, [&got](http_reply const &answer) { got = answer; });
-    run_until([&got] { return got.has_value(); });
+    run_main_context_until([&got] { return got.has_value(); });
     ASSERT_TRUE(got.has_value()) << server.bytes_sent() << " bytes sent";
     EXPECT_EQ(got->outcome, outcome);
-    run_until([&server] { return server.closed_by_caller(); });
+    run_main_context_until([&server] { return server.closed_by_caller(); });
     EXPECT_TRUE(server.closed_by_caller());
     EXPECT_LE(server.bytes_sent(), max_sent_bytes);
 }
--- a/test/error/flow_control_test.cpp
+++ b/test/error/flow_control_test.cpp
@@ -1,6 +1,6 @@
 // Guards against unbounded buffering of an answer for a slow reader: TCP flow
 // control must stop the engine, and it must continue once the caller reads.
-#include "edge_deployment.hpp"
+#include "scripted_deployment.hpp"
 
 #include <gtest/gtest.h>
 
@@ -67,18 +67,18 @@
 
 TEST(flow_control, slow_reader_holds_the_engine_and_gets_all)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     chunk_engine engine;
     deployment.on_generate = [&engine](SoupServerMessage *message,
                                        std::string const &, std::string const &)
     { engine.start(message); };
     raw_client client(deployment.port());
-    client.send(
-        http_text("POST", "/v1/completions", caller_headers,
-                  R"({"model":"manual","stream":true,"prompt":"all"})"));
-    run_until([] { return false; }, milliseconds(700));
+    client.send(make_http_request(
+        "POST", "/v1/completions", caller_headers,
+        R"({"model":"manual","stream":true,"prompt":"all"})"));
+    run_main_context_until([] { return false; }, milliseconds(700));
     auto const sent_before = engine.sent;
-    run_until([] { return false; }, milliseconds(300));
+    run_main_context_until([] { return false; }, milliseconds(300));
     // The loopback socket buffers of both connections hold a few megabytes.
     EXPECT_EQ(engine.sent, sent_before);
     EXPECT_LT(engine.sent, total_chunks);
--- a/test/error/http_resend_test.cpp
+++ b/test/error/http_resend_test.cpp
@@ -104,7 +104,7 @@
     request.body = std::make_shared<std::string const>("{}");
     request.total_timeout = seconds(2);
     client.send(request, [&reply](http_reply const &got) { reply = got; });
-    run_until([&reply] { return reply.has_value(); });
+    run_main_context_until([&reply] { return reply.has_value(); });
     return reply.value_or(http_reply{});
 }
 
@@ -115,7 +115,7 @@
     EXPECT_EQ(post(client, server.port).outcome, http_outcome::answered);
     EXPECT_EQ(post(client, server.port).outcome,
               http_outcome::failed_after_send);
-    run_until([] { return false; }, milliseconds(100));
+    run_main_context_until([] { return false; }, milliseconds(100));
     EXPECT_EQ(server.connections, 1);
     EXPECT_EQ(server.requests, 2);
 }
--- a/test/error/listener_peers_test.cpp
+++ b/test/error/listener_peers_test.cpp
@@ -1,6 +1,6 @@
 // Guards against slow, half-closed and disconnected callers occupying
 // connections, engine streams or memory.
-#include "edge_deployment.hpp"
+#include "scripted_deployment.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
     R"({"model":"manual","stream":true,"prompt":"where is hall 4?"})";
 
 /// Keeps the engine's answer open until the test ends it.
-void keep_answer_open(edge_deployment &deployment)
+void keep_answer_open(scripted_deployment &deployment)
 {
     deployment.on_generate =
         [](SoupServerMessage *message, std::string const &, std::string const &)
@@ -28,7 +28,7 @@
 
 TEST(listener_peers, slow_request_is_cut)
 {
-    edge_deployment deployment(
+    scripted_deployment deployment(
         [](settings &config)
         { config.limits.request_timeout = milliseconds(200); });
     raw_client client(deployment.port());
@@ -41,7 +41,7 @@
 
 TEST(listener_peers, silent_connection_is_cut)
 {
-    edge_deployment deployment(
+    scripted_deployment deployment(
         [](settings &config)
         { config.limits.request_timeout = milliseconds(200); });
     raw_client client(deployment.port());
@@ -50,7 +50,7 @@
 
 TEST(listener_peers, half_closed_request_is_cut)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     raw_client client(deployment.port());
     client.send("POST /v1/completions HTTP/1.1\r\nContent-Length: 9\r\n\r\n{");
     client.shut_down_sending();
@@ -60,18 +60,20 @@
 
 TEST(listener_peers, departed_caller_cancels_the_stream)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     keep_answer_open(deployment);
     raw_client client(deployment.port());
-    client.send(
-        http_text("POST", "/v1/completions", caller_headers, stream_body));
+    client.send(make_http_request("POST", "/v1/completions", caller_headers,
+                                  stream_body));
     ASSERT_TRUE(client.read_until("id: "));
-    ASSERT_TRUE(run_until(
-        [&deployment] { return deployment.requests["/v1/generate"] == 1; }));
+    ASSERT_TRUE(run_main_context_until(
+        [&deployment]
+        { return deployment.request_counts["/v1/generate"] == 1; }));
     client.close();
-    EXPECT_TRUE(run_until([&deployment]
-                          { return deployment.requests["/v1/cancel"] == 1; }));
-    EXPECT_TRUE(run_until(
+    EXPECT_TRUE(run_main_context_until(
+        [&deployment]
+        { return deployment.request_counts["/v1/cancel"] == 1; }));
+    EXPECT_TRUE(run_main_context_until(
         [&deployment] {
             return deployment.daemon->callers().acceptor().open_connections() ==
                    0;
@@ -81,31 +83,33 @@
 
 TEST(listener_peers, departure_is_seen_before_any_answer)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     keep_answer_open(deployment);
     raw_client client(deployment.port());
-    client.send(http_text("POST", "/v1/completions", caller_headers,
-                          R"({"model":"manual","prompt":"hall 4?"})"));
-    ASSERT_TRUE(run_until(
-        [&deployment] { return deployment.requests["/v1/generate"] == 1; }));
+    client.send(make_http_request("POST", "/v1/completions", caller_headers,
+                                  R"({"model":"manual","prompt":"hall 4?"})"));
+    ASSERT_TRUE(run_main_context_until(
+        [&deployment]
+        { return deployment.request_counts["/v1/generate"] == 1; }));
     client.shut_down_sending();
-    EXPECT_TRUE(run_until([&deployment]
-                          { return deployment.requests["/v1/cancel"] == 1; }));
+    EXPECT_TRUE(run_main_context_until(
+        [&deployment]
+        { return deployment.request_counts["/v1/cancel"] == 1; }));
     EXPECT_TRUE(client.read_until_closed());
 }
 
 TEST(listener_peers, connection_is_kept_for_a_second_request)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     raw_client client(deployment.port());
     for (int i = 0; i < 3; ++i)
     {
         client.received.clear();
-        client.send(
-            http_text("POST", "/v1/completions", caller_headers, stream_body));
+        client.send(make_http_request("POST", "/v1/completions", caller_headers,
+                                      stream_body));
         ASSERT_TRUE(client.read_until("[DONE]\n\n")) << client.received;
     }
-    EXPECT_EQ(deployment.requests["/v1/generate"], 3);
+    EXPECT_EQ(deployment.request_counts["/v1/generate"], 3);
     EXPECT_EQ(deployment.daemon->callers().acceptor().open_connections(), 1U);
 }
 
--- a/test/error/listener_refusals_test.cpp
+++ b/test/error/listener_refusals_test.cpp
@@ -1,6 +1,6 @@
 // Guards against malformed, oversized or unauthenticated requests reaching an
 // endpoint or ending without a specific error.
-#include "edge_deployment.hpp"
+#include "scripted_deployment.hpp"
 
 #include <gtest/gtest.h>
 
@@ -20,30 +20,30 @@
 
 TEST(listener_refusals, wrong_token_reaches_no_endpoint)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     raw_client client(deployment.port());
-    client.send(http_text("POST", completions,
-                          "Authorization: Bearer guess\r\n", valid_body));
+    client.send(make_http_request(
+        "POST", completions, "Authorization: Bearer guess\r\n", valid_body));
     ASSERT_TRUE(client.read_until("\"not_run\":true"));
     EXPECT_TRUE(contains(client.received, "HTTP/1.1 401")) << client.received;
     EXPECT_TRUE(contains(client.received, "\"code\":\"unauthenticated\""));
     EXPECT_TRUE(contains(client.received, "\"number\":101"));
-    EXPECT_EQ(deployment.requests["/v1/generate"], 0);
+    EXPECT_EQ(deployment.request_counts["/v1/generate"], 0);
     EXPECT_EQ(deployment.daemon->state().totals.requests, 0U);
 }
 
 TEST(listener_refusals, missing_token_is_refused)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     raw_client client(deployment.port());
-    client.send(http_text("POST", completions, "", valid_body));
+    client.send(make_http_request("POST", completions, "", valid_body));
     EXPECT_TRUE(client.read_until("unauthenticated"));
 }
 
 TEST(listener_refusals, announced_body_over_the_limit)
 {
-    edge_deployment deployment([](settings &config)
-                               { config.limits.max_body_bytes = 1000; });
+    scripted_deployment deployment([](settings &config)
+                                   { config.limits.max_body_bytes = 1000; });
     auto const text = deployment.call("POST", completions, "",
                                       std::string(1001, 'x'), "not_run");
     EXPECT_TRUE(contains(text, "HTTP/1.1 413")) << text;
@@ -53,8 +53,8 @@
 
 TEST(listener_refusals, chunked_body_over_the_limit)
 {
-    edge_deployment deployment([](settings &config)
-                               { config.limits.max_body_bytes = 1000; });
+    scripted_deployment deployment([](settings &config)
+                                   { config.limits.max_body_bytes = 1000; });
     raw_client client(deployment.port());
     std::string request = "POST /v1/completions HTTP/1.1\r\nHost: a\r\n";
     request += caller_headers;
@@ -70,8 +70,8 @@
 
 TEST(listener_refusals, endless_body_is_cut)
 {
-    edge_deployment deployment([](settings &config)
-                               { config.limits.max_body_bytes = 1000; });
+    scripted_deployment deployment([](settings &config)
+                                   { config.limits.max_body_bytes = 1000; });
     raw_client client(deployment.port());
     std::string request = "POST /v1/completions HTTP/1.1\r\nHost: a\r\n";
     request += caller_headers;
@@ -86,8 +86,8 @@
 
 TEST(listener_refusals, headers_over_the_limit)
 {
-    edge_deployment deployment([](settings &config)
-                               { config.limits.max_header_bytes = 2000; });
+    scripted_deployment deployment([](settings &config)
+                                   { config.limits.max_header_bytes = 2000; });
     auto const text = deployment.call(
         "POST", completions, "X-Long: " + std::string(3000, 'x') + "\r\n",
         valid_body, "not_run");
@@ -96,7 +96,7 @@
 
 TEST(listener_refusals, malformed_json)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     auto const text =
         deployment.call("POST", completions, "", R"({"model":)", "not_run");
     EXPECT_TRUE(contains(text, "HTTP/1.1 400")) << text;
@@ -105,7 +105,7 @@
 
 TEST(listener_refusals, malformed_http_is_cut)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     raw_client client(deployment.port());
     client.send("this is not HTTP\r\n\r\n");
     EXPECT_TRUE(client.read_until_closed()) << client.received;
@@ -114,7 +114,7 @@
 
 TEST(listener_refusals, unknown_path_and_wrong_method)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     EXPECT_TRUE(
         contains(deployment.call("POST", "/v1/other", "", "{}", "not_run"),
                  "HTTP/1.1 404"));
@@ -125,7 +125,7 @@
 
 TEST(listener_refusals, unknown_model_class_and_service)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     EXPECT_TRUE(
         contains(deployment.call("POST", completions, "",
                                  R"({"model":"m","prompt":"p"})", "not_run"),
@@ -141,24 +141,24 @@
 
 TEST(listener_refusals, booking_without_a_key_is_not_run)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     auto const text =
         deployment.call("POST", "/v1/services/desk/book", "", "{}", "not_run");
     EXPECT_TRUE(contains(text, "idempotency_key_missing")) << text;
-    EXPECT_EQ(deployment.requests["/book"], 0);
+    EXPECT_EQ(deployment.request_counts["/book"], 0);
 }
 
 TEST(listener_refusals, connections_over_the_limit_are_closed)
 {
-    edge_deployment deployment([](settings &config)
-                               { config.limits.max_connections = 2; });
+    scripted_deployment deployment([](settings &config)
+                                   { config.limits.max_connections = 2; });
     raw_client first(deployment.port());
     raw_client second(deployment.port());
     raw_client third(deployment.port());
     EXPECT_TRUE(third.read_until_closed());
     EXPECT_EQ(deployment.daemon->callers().acceptor().open_connections(), 2U);
     first.close();
-    EXPECT_TRUE(run_until(
+    EXPECT_TRUE(run_main_context_until(
         [&deployment] {
             return deployment.daemon->callers().acceptor().open_connections() ==
                    1;
--- a/test/error/resume_id_test.cpp
+++ b/test/error/resume_id_test.cpp
@@ -1,7 +1,7 @@
 // Guards against a caller resuming a stream of another caller: request ids are
 // signed and bound to the caller, and signing keys can be rotated.
-#include "edge_deployment.hpp"
 #include "request_id.hpp"
+#include "scripted_deployment.hpp"
 #include "signing_keys.hpp"
 
 #include <gtest/gtest.h>
@@ -63,12 +63,12 @@
 
 TEST(resume_id, a_forged_id_is_answered_with_an_error)
 {
-    edge_deployment deployment;
+    scripted_deployment deployment;
     auto const text = deployment.call(
         "POST", "/v1/completions", "Last-Event-ID: rennes-a/e/k/00:3\r\n",
         R"({"model":"manual","stream":true,"prompt":"p"})", "not_run");
     EXPECT_NE(text.find("unknown_request"), std::string::npos) << text;
-    EXPECT_EQ(deployment.requests["/v1/generate"], 0);
+    EXPECT_EQ(deployment.request_counts["/v1/generate"], 0);
 }
 
 } // namespace
--- a/test/error/truncated_reply_test.cpp
+++ b/test/error/truncated_reply_test.cpp
@@ -14,7 +14,7 @@
 
 using namespace agateledge;
 
-http_outcome outcome_of(std::string const &reply, reply_ending ending)
+http_outcome outcome_of(std::string const &reply, connection_ending ending)
 {
     fixed_reply_server const server(reply, ending);
     http_client client;
@@ -25,7 +25,7 @@
     request.total_timeout = seconds(2);
     request.new_connection = true;
     client.send(request, [&got](http_reply const &answer) { got = answer; });
-    run_until([&got] { return got.has_value(); });
+    run_main_context_until([&got] { return got.has_value(); });
     return got.value_or(http_reply{}).outcome;
 }
 
@@ -35,14 +35,15 @@
 TEST(truncated_reply, a_whole_chunked_body_is_answered)
 {
     auto const reply = std::string(chunked_head) + "4\r\nabcd\r\n0\r\n\r\n";
-    EXPECT_EQ(outcome_of(reply, reply_ending::keep_open),
+    EXPECT_EQ(outcome_of(reply, connection_ending::keep_open),
               http_outcome::answered);
 }
 
 TEST(truncated_reply, a_whole_chunked_body_is_answered_when_the_server_closes)
 {
     auto const reply = std::string(chunked_head) + "4\r\nabcd\r\n0\r\n\r\n";
-    EXPECT_EQ(outcome_of(reply, reply_ending::close), http_outcome::answered);
+    EXPECT_EQ(outcome_of(reply, connection_ending::close),
+              http_outcome::answered);
 }
 
 constexpr char const *closing_head =
@@ -54,37 +55,38 @@
 TEST(truncated_reply, a_whole_chunked_body_may_announce_the_close)
 {
     auto const reply = std::string(closing_head) + "4\r\nabcd\r\n0\r\n\r\n";
-    EXPECT_EQ(outcome_of(reply, reply_ending::close), http_outcome::answered);
+    EXPECT_EQ(outcome_of(reply, connection_ending::close),
+              http_outcome::answered);
 }
 
 TEST(truncated_reply, a_chunked_body_without_its_end_may_not)
 {
     auto const reply = std::string(closing_head) + "4\r\nabcd\r\n";
-    EXPECT_EQ(outcome_of(reply, reply_ending::close),
+    EXPECT_EQ(outcome_of(reply, connection_ending::close),
               http_outcome::failed_after_send);
 }
 
 TEST(truncated_reply, a_chunked_body_without_its_end_has_failed)
 {
     auto const reply = std::string(chunked_head) + "4\r\nabcd\r\n";
-    EXPECT_EQ(outcome_of(reply, reply_ending::close),
+    EXPECT_EQ(outcome_of(reply, connection_ending::close),
               http_outcome::failed_after_send);
-    EXPECT_EQ(outcome_of(reply, reply_ending::reset),
+    EXPECT_EQ(outcome_of(reply, connection_ending::reset),
               http_outcome::failed_after_send);
 }
 
 TEST(truncated_reply, a_chunked_body_without_any_chunk_has_failed)
 {
-    EXPECT_EQ(outcome_of(chunked_head, reply_ending::close),
+    EXPECT_EQ(outcome_of(chunked_head, connection_ending::close),
               http_outcome::failed_after_send);
-    EXPECT_EQ(outcome_of(chunked_head, reply_ending::reset),
+    EXPECT_EQ(outcome_of(chunked_head, connection_ending::reset),
               http_outcome::failed_after_send);
 }
 
 TEST(truncated_reply, a_chunk_that_breaks_off_has_failed)
 {
     auto const reply = std::string(chunked_head) + "8\r\nabcd";
-    EXPECT_EQ(outcome_of(reply, reply_ending::close),
+    EXPECT_EQ(outcome_of(reply, connection_ending::close),
               http_outcome::failed_after_send);
 }
 
@@ -92,15 +94,16 @@
 {
     std::string const reply =
         "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nabcd";
-    EXPECT_EQ(outcome_of(reply, reply_ending::close),
+    EXPECT_EQ(outcome_of(reply, connection_ending::close),
               http_outcome::failed_after_send);
 }
 
 TEST(truncated_reply, a_body_without_a_length_ends_by_a_close_only)
 {
     std::string const reply = "HTTP/1.1 200 OK\r\n\r\nabcd";
-    EXPECT_EQ(outcome_of(reply, reply_ending::close), http_outcome::answered);
-    EXPECT_EQ(outcome_of(reply, reply_ending::reset),
+    EXPECT_EQ(outcome_of(reply, connection_ending::close),
+              http_outcome::answered);
+    EXPECT_EQ(outcome_of(reply, connection_ending::reset),
               http_outcome::failed_after_send);
 }
 
--- a/tools/latency_bench.cpp
+++ b/tools/latency_bench.cpp
@@ -136,7 +136,8 @@
     body["stream"] = true;
     body["prompt"] = "len=" + std::to_string(tokens) + " where is hall 4?";
     body["max_tokens"] = tokens;
-    return http_text("POST", "/v1/completions", headers, json_to_text(body));
+    return make_http_request("POST", "/v1/completions", headers,
+                             json_to_text(body));
 }
 
 std::string engine_request()
@@ -147,7 +148,8 @@
     body["prompt_tokens"] = 6;
     body["max_tokens"] = 1;
     body["seed"] = "1";
-    return http_text("POST", "/v1/generate", headers, json_to_text(body));
+    return make_http_request("POST", "/v1/generate", headers,
+                             json_to_text(body));
 }
 
 /// Sends requests alternately through the daemon and directly to the engine,
--- a/tools/long_run.cpp
+++ b/tools/long_run.cpp
@@ -34,7 +34,7 @@
               << ", deployment " << options.deployment << ", step "
               << result.steps << "\n";
     auto const smaller = shrink_run(options);
-    auto const shrunk = run_randomly(smaller);
+    auto const shrunk = run_randomised(smaller);
     std::cout << "shrunk: step " << shrunk.steps << ": " << shrunk.violation
               << "\n";
     for (auto const &fault : shrunk.faults)
@@ -46,7 +46,7 @@
 
 int run(run_options const &options)
 {
-    auto const result = run_randomly(options);
+    auto const result = run_randomised(options);
     if (!result.violation.empty())
     {
         print_violation(options, result);
--- a/tools/policy_bench.cpp
+++ b/tools/policy_bench.cpp
@@ -117,7 +117,7 @@
         return run_oracle(load, scenario, seed);
     }
     bench_run run(load, scenario, seed);
-    plug_in(run, policy);
+    install_policy(run, policy);
     return run.run();
 }
 
