--- a/src/admit_proxied_requests.cpp
+++ b/src/admit_proxied_requests.cpp
@@ -114,9 +114,9 @@
          {"time_ms", milliseconds_text(request.expires_at - w.now)}});
 }
 
-void handle_disconnect(world &w, proxy_disconnect const &departure)
+void handle_disconnect(world &w, proxy_disconnect const &disconnect)
 {
-    auto *request = w.proxy.requests.find(departure.request);
+    auto *request = w.proxy.requests.find(disconnect.request);
     if (request == nullptr)
     {
         return;
@@ -131,8 +131,8 @@
                      {"answering", request->answering ? "true" : "false"}},
                     true);
     ++w.proxy.metrics.requests["caller_left"];
-    std::erase(w.proxy.waiting, departure.request);
-    w.proxy.requests.erase(departure.request);
+    std::erase(w.proxy.waiting, disconnect.request);
+    w.proxy.requests.erase(disconnect.request);
 }
 
 } // namespace
@@ -143,8 +143,8 @@
                           [&w](proxy_arrival const &arrival)
                           { admit(w, arrival); });
     std::ranges::for_each(w.in.proxy_disconnects,
-                          [&w](proxy_disconnect const &departure)
-                          { handle_disconnect(w, departure); });
+                          [&w](proxy_disconnect const &disconnect)
+                          { handle_disconnect(w, disconnect); });
 }
 
 } // namespace agateledge
--- a/src/apply_configuration.hpp
+++ b/src/apply_configuration.hpp
@@ -16,7 +16,7 @@
 /// configuration in force, so that a late or repeated document never reverts
 /// it.
 ///
-/// @return true when `config` has been put in force
+/// @return true when `config` has been activated
 bool activate_configuration(world &w, configuration const &config);
 
 /// Puts the configuration from the daemon's settings in force as revision 0
--- a/src/caller_listener.hpp
+++ b/src/caller_listener.hpp
@@ -35,7 +35,7 @@
 public:
     /// @param state daemon state, read for the configuration; must outlive this
     ///        object
-    /// @param loop receives arrivals and departures; must outlive this object
+    /// @param loop receives arrivals and disconnects; must outlive this object
     /// @param keys keys that sign request ids; must outlive this object
     /// @param limits limits on requests and connections
     caller_listener(world const &state, daemon_loop &loop,
@@ -63,7 +63,7 @@
 
     /// Called when the caller that reads an engine stream stalls (true) or has
     /// read all buffered bytes (false).
-    std::function<void(std::string const &stream_key, bool hold)>
+    std::function<void(std::string const &stream_key, bool paused)>
         on_backpressure;
 
 private:
--- a/src/instance_client.cpp
+++ b/src/instance_client.cpp
@@ -87,7 +87,7 @@
     http_.send(request, [](http_reply const &) {});
 }
 
-void instance_client::set_paused(request_number request, bool hold)
+void instance_client::set_paused(request_number request, bool paused)
 {
     auto const attempt = by_request_.find(request);
     if (attempt == by_request_.end())
@@ -95,7 +95,7 @@
         return;
     }
     auto const &http = open_.at(attempt->second).http;
-    if (hold)
+    if (paused)
     {
         http->pause();
         return;
--- a/src/instance_client.hpp
+++ b/src/instance_client.hpp
@@ -42,8 +42,8 @@
 
     /// Flow control: pauses or resumes reading the reply to a request's call.
     ///
-    /// @param hold true to pause, false to resume
-    void set_paused(request_number request, bool hold);
+    /// @param paused true to pause, false to resume
+    void set_paused(request_number request, bool paused);
 
 private:
     struct open_call
--- a/src/poll_store.cpp
+++ b/src/poll_store.cpp
@@ -23,7 +23,7 @@
 /// Timeout of a retried read. Retries are not long polls.
 constexpr duration retry_timeout = milliseconds(1000);
 
-table_poll_state &follower_of(world &w, polled_table table)
+table_poll_state &poll_state_of(world &w, polled_table table)
 {
     return w.proxy.table_polls.at(static_cast<std::size_t>(table));
 }
@@ -68,93 +68,93 @@
                          {"fault", reply.fault}});
 }
 
-void handle_failure(world &w, table_poll_state &follower,
+void handle_failure(world &w, table_poll_state &poll_state,
                     row_read_reply const &reply)
 {
-    ++follower.failures;
-    follower.next_read = w.now + backoff(w, follower.failures);
+    ++poll_state.failures;
+    poll_state.next_read = w.now + backoff(w, poll_state.failures);
     if (reply.outcome == row_outcome::history_lost)
     {
-        follower.needs_full_read = true;
-        follower.after_key.clear();
+        poll_state.needs_full_read = true;
+        poll_state.after_key.clear();
         log_proxied_request(
             w, log_level::warning, "history_lost",
             {{"table", std::string(name_of(reply.table))},
-             {"after_version", std::to_string(follower.version)}});
+             {"after_version", std::to_string(poll_state.version)}});
         return;
     }
     record_reachability(w, false, reply);
 }
 
-void handle_rows(world &w, table_poll_state &follower,
+void handle_rows(world &w, table_poll_state &poll_state,
                  row_read_reply const &reply)
 {
     record_reachability(w, true, reply);
-    follower.failures = 0;
-    follower.confirmed_at = w.now;
-    if (reply.full && follower.after_key.empty())
+    poll_state.failures = 0;
+    poll_state.confirmed_at = w.now;
+    if (reply.full && poll_state.after_key.empty())
     {
-        follower.first_page_version = reply.version;
+        poll_state.first_page_version = reply.version;
     }
     if (reply.full && reply.truncated)
     {
-        follower.after_key = reply.last_key;
-        follower.next_read = w.now;
+        poll_state.after_key = reply.last_key;
+        poll_state.next_read = w.now;
         return;
     }
     if (reply.full)
     {
-        follower.version =
-            std::max(follower.version, follower.first_page_version);
-        follower.needs_full_read = false;
-        follower.after_key.clear();
-        follower.fully_read = true;
+        poll_state.version =
+            std::max(poll_state.version, poll_state.first_page_version);
+        poll_state.needs_full_read = false;
+        poll_state.after_key.clear();
+        poll_state.fully_read = true;
     }
     else
     {
-        follower.version = std::max(follower.version, reply.version);
+        poll_state.version = std::max(poll_state.version, reply.version);
     }
-    follower.next_read = w.now + schedule_of(w, reply.table).interval;
+    poll_state.next_read = w.now + schedule_of(w, reply.table).interval;
 }
 
 void handle_reply(world &w, row_read_reply const &reply)
 {
-    auto &follower = follower_of(w, reply.table);
-    follower.in_flight = false;
+    auto &poll_state = poll_state_of(w, reply.table);
+    poll_state.in_flight = false;
     ++w.proxy.metrics.store_calls[std::string(name_of(reply.outcome))];
     if (reply.outcome == row_outcome::answered)
     {
-        handle_rows(w, follower, reply);
+        handle_rows(w, poll_state, reply);
         return;
     }
-    handle_failure(w, follower, reply);
+    handle_failure(w, poll_state, reply);
 }
 
 void read_table(world &w, polled_table table)
 {
-    auto &follower = follower_of(w, table);
-    if (follower.in_flight)
+    auto &poll_state = poll_state_of(w, table);
+    if (poll_state.in_flight)
     {
         return;
     }
-    if (follower.next_read > w.now)
+    if (poll_state.next_read > w.now)
     {
-        wake_at(w, follower.next_read);
+        wake_at(w, poll_state.next_read);
         return;
     }
     auto const schedule = schedule_of(w, table);
     row_read read;
     read.table = table;
-    read.full = follower.needs_full_read;
-    read.after_key = follower.after_key;
-    read.after_version = follower.version;
-    bool const retrying = follower.failures > 0;
-    read.long_poll_wait = follower.needs_full_read || retrying
+    read.full = poll_state.needs_full_read;
+    read.after_key = poll_state.after_key;
+    read.after_version = poll_state.version;
+    bool const retrying = poll_state.failures > 0;
+    read.long_poll_wait = poll_state.needs_full_read || retrying
                               ? duration(0)
                               : schedule.long_poll_wait;
     read.timeout =
         retrying ? retry_timeout : read.long_poll_wait + store_read_timeout;
-    follower.in_flight = true;
+    poll_state.in_flight = true;
     w.out.row_reads.push_back(read);
 }
 
--- a/src/predict_event_gap.hpp
+++ b/src/predict_event_gap.hpp
@@ -13,14 +13,15 @@
 /// prefills a prompt. An engine in decode role prefills prompts between the
 /// tokens of its streams, so each prompt delays all of them; bursts of long
 /// prompts or of many short ones then stall short streams. The cost is small
-/// while the predicted pause is far below the target of the service, and equals
-/// the target when the pause reaches it.
+/// while the predicted pause is far below the maximum event gap of the service,
+/// and equals that gap when the pause reaches it.
 ///
 /// @param w state of the daemon
 /// @param instance engine that would prefill the prompt
 /// @param unread_tokens prompt tokens that it would have to prefill
 /// @return time to add to the predicted first event when engines are compared;
-///         0 for an engine in prefill role or a service without a pause target
+///         0 for an engine in prefill role or a service without a maximum event
+///         gap
 duration pause_cost(world const &w, instance_state const &instance,
                     int unread_tokens);
 
--- a/src/proxy_listener.hpp
+++ b/src/proxy_listener.hpp
@@ -30,7 +30,7 @@
 public:
     /// @param state daemon state, read for the current limits; must outlive
     ///        this object
-    /// @param loop receives arrivals and departures; must outlive this object
+    /// @param loop receives arrivals and disconnects; must outlive this object
     /// @param codec decodes requests; must outlive this object
     /// @param limits limits on connections
     proxy_listener(world const &state, daemon_loop &loop,
@@ -48,7 +48,7 @@
 
     /// Called when the reader of a stream stalls (true) or has read all
     /// buffered bytes (false).
-    std::function<void(request_number, bool hold)> on_backpressure;
+    std::function<void(request_number, bool paused)> on_backpressure;
 
 private:
     class exchange;
--- a/src/proxy_metrics_text.cpp
+++ b/src/proxy_metrics_text.cpp
@@ -48,9 +48,10 @@
 ///         read
 double table_age_s(world const &w, polled_table table)
 {
-    auto const &follower =
+    auto const &poll_state =
         w.proxy.table_polls.at(static_cast<std::size_t>(table));
-    return follower.fully_read ? to_seconds(w.now - follower.confirmed_at) : -1;
+    return poll_state.fully_read ? to_seconds(w.now - poll_state.confirmed_at)
+                                 : -1;
 }
 
 } // namespace
--- a/src/proxy_process.cpp
+++ b/src/proxy_process.cpp
@@ -104,8 +104,8 @@
     peers_.on_datagram = [this](std::string_view bytes)
     { handle_peer_load(bytes); };
     handlers.stop = [this] { stop_allowed_ = true; };
-    callers_.on_backpressure = [this](request_number request, bool hold)
-    { instances_.set_paused(request, hold); };
+    callers_.on_backpressure = [this](request_number request, bool paused)
+    { instances_.set_paused(request, paused); };
     readiness_.add(
         codec_.readiness_path.c_str(),
         [this](std::shared_ptr<http_exchange> const &request)
--- a/src/proxy_process.hpp
+++ b/src/proxy_process.hpp
@@ -43,7 +43,7 @@
     proxy_process(proxy_process const &) = delete;
     proxy_process &operator=(proxy_process const &) = delete;
 
-    /// Starts the listeners and begins to follow the store.
+    /// Starts the listeners and begins to poll the store.
     ///
     /// @return `settings_invalid` when a setting cannot be used
     absl::Status start();
--- a/src/proxy_state.hpp
+++ b/src/proxy_state.hpp
@@ -26,7 +26,7 @@
 namespace agateledge
 {
 
-/// Progress of reading one followed table of the store.
+/// Progress of reading one polled table of the store.
 struct table_poll_state
 {
     /// The next read starts or continues a full read of the table.
@@ -81,7 +81,7 @@
     proxy_limits limits;
     std::shared_ptr<routing_configuration const> routing =
         std::make_shared<routing_configuration const>();
-    /// Limits of the pauses between stream events by service; derived from
+    /// Maximum gaps between stream events by service; derived from
     /// `routing` by `set_routing`.
     std::map<std::string, duration> max_event_gaps;
     instance_table instances;
--- a/src/receive_requests.cpp
+++ b/src/receive_requests.cpp
@@ -127,7 +127,7 @@
     store_arrival(w, arrival, *kind);
 }
 
-void handle_departure(world &w, request_number number)
+void handle_disconnect(world &w, request_number number)
 {
     auto *request = w.requests.find(number);
     if (request == nullptr)
@@ -156,8 +156,8 @@
     std::ranges::for_each(w.in.arrivals, [&w](request_arrival &arrival)
                           { accept_arrival(w, arrival); });
     std::ranges::for_each(w.in.caller_disconnects,
-                          [&w](caller_disconnect departure)
-                          { handle_departure(w, departure.request); });
+                          [&w](caller_disconnect disconnect)
+                          { handle_disconnect(w, disconnect.request); });
 }
 
 } // namespace agateledge
--- a/src/routing_configuration.cpp
+++ b/src/routing_configuration.cpp
@@ -13,7 +13,7 @@
 /// the limit on the gap between events.
 constexpr duration min_stream_timeout = seconds(2);
 constexpr int target_latency_multiple = 4;
-constexpr int target_pause_multiple = 8;
+constexpr int max_event_gap_multiple = 8;
 
 } // namespace
 
@@ -21,7 +21,7 @@
 {
     return std::max(
         {duration(min_stream_timeout), target_latency_multiple * target_latency,
-         target_pause_multiple * max_event_gap.value_or(duration(0))});
+         max_event_gap_multiple * max_event_gap.value_or(duration(0))});
 }
 
 route_definition const *find_route(routing_configuration const &config,
--- a/test/correctness/proxy_placement_test.cpp
+++ b/test/correctness/proxy_placement_test.cpp
@@ -153,8 +153,8 @@
     EXPECT_LE(failing_endpoint_calls, 6);
 }
 
-/// Sets the target pause between stream events for all routes.
-void set_target_pause(proxy_fixture &daemon, duration bound)
+/// Sets the maximum gap between stream events for all routes.
+void set_max_event_gap(proxy_fixture &daemon, duration bound)
 {
     auto routing = *daemon.state.proxy.routing;
     for (auto &route : routing.routes)
@@ -199,7 +199,7 @@
 /// meanwhile.
 ///
 /// @param pause time between the events of the streams
-/// @param bound target pause of the routes
+/// @param bound maximum event gap of the routes
 /// @return fraction of the short prompts that engines in prefill role prefill
 double separate_prefill_fraction(duration pause, duration bound)
 {
@@ -216,7 +216,7 @@
         send_event(daemon, streams.back(), 1);
     }
     daemon.list_engines(5, engine_role::prefill);
-    set_target_pause(daemon, bound);
+    set_max_event_gap(daemon, bound);
     int separate = 0;
     for (int event = 2; event < 12; ++event)
     {
