--- a/harness/role_change_executor.cpp
+++ b/harness/role_change_executor.cpp
@@ -43,7 +43,7 @@
     auto const now = deployment_.now();
     auto const load = model.load();
     bool const empty = load.running + load.waiting == 0;
-    if (!change.sent && (empty || now - change.begun > drain_timeout))
+    if (!change.sent && (empty || now - change.started_at > drain_timeout))
     {
         change.order.expected_generation = load.generation;
         change.order.id = engine + ":" + std::to_string(load.generation);
@@ -59,7 +59,7 @@
     }
     if (change.sent && model.load().ready)
     {
-        time_unavailable_ += now - change.begun;
+        time_unavailable_ += now - change.started_at;
         open_.erase(engine);
         set_changing(engine, false);
         return;
--- a/harness/role_change_executor.hpp
+++ b/harness/role_change_executor.hpp
@@ -36,7 +36,7 @@
     struct change
     {
         engine_order order;
-        instant begun{};
+        instant started_at{};
         bool sent = false;
     };
 
--- a/src/admit_proxied_requests.cpp
+++ b/src/admit_proxied_requests.cpp
@@ -60,7 +60,7 @@
 
 void admit(world &w, proxy_arrival const &arrival)
 {
-    proxied_request entry;
+    proxy_request_state entry;
     entry.number = arrival.request;
     entry.content = arrival.content;
     entry.arrived_at = arrival.received_at;
--- a/src/advance_proxied_requests.cpp
+++ b/src/advance_proxied_requests.cpp
@@ -46,7 +46,7 @@
            status == http_too_many_requests || status == http_unavailable;
 }
 
-bool is_stream(proxied_request const &request)
+bool is_stream(proxy_request_state const &request)
 {
     return request.route->kind == route_kind::streaming && request.head &&
            is_success(request.head->status);
@@ -196,7 +196,7 @@
         std::max(w.now - attempt.sent_at - attempt.predicted, duration(0)));
 }
 
-void begin_answer(world &w, proxied_request &request)
+void begin_answer(world &w, proxy_request_state &request)
 {
     if (std::exchange(request.answering, true))
     {
@@ -213,7 +213,7 @@
 }
 
 void record_event_time(world &w, proxy_attempt const &attempt,
-                       proxied_request &request)
+                       proxy_request_state &request)
 {
     auto const last = std::exchange(request.last_event_at, w.now);
     if (last == instant{})
@@ -229,7 +229,7 @@
 }
 
 void forward_events(world &w, proxy_attempt const &attempt,
-                    proxied_request &request)
+                    proxy_request_state &request)
 {
     auto events = extract_new_events(request.partial_event, request.last_event);
     if (events.empty())
@@ -271,7 +271,7 @@
     }
 }
 
-void end_stream(world &w, proxied_request &request)
+void end_stream(world &w, proxy_request_state &request)
 {
     begin_answer(w, request);
     proxy_answer answer;
@@ -281,7 +281,7 @@
     finish_proxied_request(w, request.number, "answered");
 }
 
-void forward_complete_answer(world &w, proxied_request &request)
+void forward_complete_answer(world &w, proxy_request_state &request)
 {
     request.first_event_at = w.now;
     proxy_answer answer;
@@ -298,7 +298,7 @@
 }
 
 /// Retries the call, fails the request, or forwards the error reply.
-void handle_error_reply(world &w, proxied_request &request)
+void handle_error_reply(world &w, proxy_request_state &request)
 {
     auto const status = request.head->status;
     bool const again =
--- a/src/choose_instance.cpp
+++ b/src/choose_instance.cpp
@@ -119,7 +119,7 @@
     return -std::log(uniform) / weight;
 }
 
-bool is_eligible(world const &w, proxied_request const &request,
+bool is_eligible(world const &w, proxy_request_state const &request,
                  instance_state const &instance)
 {
     auto const &definition = instance.definition;
@@ -134,7 +134,7 @@
 /// Eligible instances. Instances that the request was already sent to are
 /// returned only when there are no others; ejected ones are never eligible.
 std::vector<candidate> eligible_candidates(world const &w,
-                                           proxied_request const &request)
+                                           proxy_request_state const &request)
 {
     auto const &instances = w.proxy.instances.of_service(request.service);
     auto receivers_left = count_receivers(instances);
@@ -157,7 +157,7 @@
     return untried.empty() ? retried : untried;
 }
 
-void rank_candidates(proxied_request const &request,
+void rank_candidates(proxy_request_state const &request,
                      std::vector<candidate> &candidates)
 {
     if (request.chain.empty())
@@ -185,7 +185,7 @@
 ///         prefilled it, because a transfer between data centres takes twice
 ///         as long; the daemon's own before the prefill
 std::string const &handover_data_centre(world const &w,
-                                        proxied_request const &request)
+                                        proxy_request_state const &request)
 {
     auto const *reader =
         request.retained_prefill
@@ -204,7 +204,7 @@
 /// prefilled, and to the receiving engines of the hand-over data centre.
 /// Without this limit the cost of each choice grows with the number of engines,
 /// which matters at hundreds of them.
-void limit_candidates(world const &w, proxied_request const &request,
+void limit_candidates(world const &w, proxy_request_state const &request,
                       std::vector<candidate> &candidates)
 {
     if (polls_caches(w) || request.chain.empty() ||
@@ -265,7 +265,7 @@
 ///         several, the one that used them last, because engine caches evict
 ///         the least recently used parts first; none when no engine is known to
 ///         cache any
-prefix_source find_prefix_source(proxied_request const &request,
+prefix_source find_prefix_source(proxy_request_state const &request,
                                  std::vector<candidate> const &candidates,
                                  instance_state const *except)
 {
@@ -289,7 +289,7 @@
 
 /// @return the top-ranked engine for the shared parts, which is assumed to
 ///         cache them; none when the request has no shared parts
-prefix_source assumed_prefix_source(proxied_request const &request,
+prefix_source assumed_prefix_source(proxy_request_state const &request,
                                     std::vector<candidate> const &candidates)
 {
     if (request.chain.empty())
@@ -305,7 +305,7 @@
 
 /// Counts the shared parts as cached on their top-ranked engines when engine
 /// caches are not tracked.
-void assume_cached_parts(world const &w, proxied_request const &request,
+void assume_cached_parts(world const &w, proxy_request_state const &request,
                          candidate &item)
 {
     if (polls_caches(w) || request.chain.empty() ||
@@ -320,7 +320,7 @@
     prediction.copied_tokens = 0;
 }
 
-void set_cost(world &w, proxied_request const &request,
+void set_cost(world &w, proxy_request_state const &request,
               prefix_source const &source, candidate &item)
 {
     item.prediction =
@@ -379,7 +379,7 @@
 ///         `find_prefix_source`, or else the top-ranked one, to which other
 ///         daemons may have sent them; empty for none
 std::string
-choose_prefix_source_address(proxied_request const &request,
+choose_prefix_source_address(proxy_request_state const &request,
                              std::vector<candidate> const &candidates,
                              instance_state const &chosen)
 {
@@ -400,8 +400,8 @@
 
 } // namespace
 
-std::optional<instance_choice> choose_instance(world &w,
-                                               proxied_request const &request)
+std::optional<instance_choice>
+choose_instance(world &w, proxy_request_state const &request)
 {
     auto candidates = eligible_candidates(w, request);
     rank_candidates(request, candidates);
--- a/src/choose_instance.hpp
+++ b/src/choose_instance.hpp
@@ -10,7 +10,7 @@
 namespace agateledge
 {
 
-struct proxied_request;
+struct proxy_request_state;
 struct world;
 
 /// Instance chosen for a request.
@@ -45,8 +45,8 @@
 /// @param request waiting request; if an engine already holds its prefilled KV
 ///        cache, it goes to an engine in decode role
 /// @return the choice, or nothing when no instance is eligible
-std::optional<instance_choice> choose_instance(world &w,
-                                               proxied_request const &request);
+std::optional<instance_choice>
+choose_instance(world &w, proxy_request_state const &request);
 
 } // namespace agateledge
 
--- a/src/claim_calls.cpp
+++ b/src/claim_calls.cpp
@@ -31,9 +31,11 @@
 duration backoff(world &w, int failures)
 {
     constexpr int max_doublings = 7;
-    auto const doubled = min_backoff * (1 << std::min(failures, max_doublings));
+    auto const doubled_backoff =
+        min_backoff * (1 << std::min(failures, max_doublings));
     auto const jitter = 0.5 + w.random.uniform() / 2;
-    return from_seconds(to_seconds(std::min(doubled, max_backoff)) * jitter);
+    return from_seconds(to_seconds(std::min(doubled_backoff, max_backoff)) *
+                        jitter);
 }
 
 std::string attempt_id_of(world const &w, request_number request)
@@ -526,7 +528,7 @@
 {
     std::ranges::for_each(w.in.table_replies, [&w](table_reply const &reply)
                           { handle_reply(w, reply); });
-    while (auto const number = w.claims.due.take(w.now))
+    while (auto const number = w.claims.due.pop_due(w.now))
     {
         handle_due(w, *number);
     }
--- a/src/dispatch_queue.cpp
+++ b/src/dispatch_queue.cpp
@@ -26,7 +26,7 @@
     positions_.erase(found);
 }
 
-std::vector<request_number> dispatch_queue::take_expired(instant now)
+std::vector<request_number> dispatch_queue::pop_expired(instant now)
 {
     std::vector<request_number> expired;
     while (!expiries_.empty() && expiries_.begin()->first <= now)
--- a/src/dispatch_queue.hpp
+++ b/src/dispatch_queue.hpp
@@ -40,7 +40,7 @@
     void remove(request_number request);
 
     /// Removes and returns the requests that expired by `now`.
-    std::vector<request_number> take_expired(instant now);
+    std::vector<request_number> pop_expired(instant now);
 
     std::map<std::string, lane> &lanes() { return lanes_; }
 
--- a/src/dispatch_requests.cpp
+++ b/src/dispatch_requests.cpp
@@ -231,7 +231,7 @@
 
 void refuse_expired(world &w)
 {
-    for (auto const number : w.queue.take_expired(w.now))
+    for (auto const number : w.queue.pop_expired(w.now))
     {
         auto const *request = w.requests.find(number);
         if (request == nullptr || request->phase != request_phase::waiting)
@@ -297,7 +297,7 @@
 {
     std::ranges::for_each(std::exchange(w.waiting, {}),
                           [&w](request_number number) { enqueue(w, number); });
-    while (auto const number = w.deferred.take(w.now))
+    while (auto const number = w.deferred.pop_due(w.now))
     {
         enqueue(w, *number);
     }
--- a/src/due_queue.hpp
+++ b/src/due_queue.hpp
@@ -13,7 +13,7 @@
 {
 
 /// Items ordered by the time at which they are due. An item may be queued
-/// several times; the owner checks on `take` whether it still applies.
+/// several times; the owner checks on `pop_due` whether it still applies.
 template <class Item>
 class due_queue
 {
@@ -21,7 +21,7 @@
     void add(instant when, Item item) { queue_.emplace(when, item); }
 
     /// Removes and returns the earliest item that is due at `now`, if any.
-    std::optional<Item> take(instant now)
+    std::optional<Item> pop_due(instant now)
     {
         if (queue_.empty() || queue_.top().first > now)
         {
--- a/src/exchange_server.hpp
+++ b/src/exchange_server.hpp
@@ -47,7 +47,8 @@
         std::function<void(Exchange &)> on_end;
     };
 
-    /// @param server_header value of the header "Server"; null for none
+    /// @param server_header value of the header "Server"; null to send no such
+    ///        header
     /// @param limits limits on connections
     exchange_server(char const *server_header, listener_limits limits)
         : server_(soup_server_new("server-header", server_header, "raw-paths",
--- a/src/expire_proxied_requests.cpp
+++ b/src/expire_proxied_requests.cpp
@@ -31,7 +31,7 @@
 
 void expire_proxied_requests(world &w)
 {
-    while (auto const due = w.proxy.expiries.take(w.now))
+    while (auto const due = w.proxy.expiries.pop_due(w.now))
     {
         expire(w, *due);
     }
--- a/src/hedge_calls.cpp
+++ b/src/hedge_calls.cpp
@@ -93,7 +93,7 @@
 
 void hedge_calls(world &w)
 {
-    while (auto const number = w.hedges.take(w.now))
+    while (auto const number = w.hedges.pop_due(w.now))
     {
         hedge(w, *number);
     }
--- a/src/http_call.hpp
+++ b/src/http_call.hpp
@@ -30,7 +30,7 @@
     /// Added to the request, in place of default headers of the same names;
     /// names may repeat.
     std::vector<std::pair<std::string, std::string>> headers;
-    /// Request body; null for none.
+    /// Request body; null when the request has no body.
     shared_text body;
     /// Value of "Content-Type"; empty for none.
     std::string content_type = "application/json";
--- a/src/log_proxied_request.cpp
+++ b/src/log_proxied_request.cpp
@@ -16,9 +16,10 @@
 
 /// Maximum number of buffered log entries of one request, enough for three
 /// calls; further entries are dropped.
-constexpr std::size_t max_trail_entries = 16;
+constexpr std::size_t max_buffered_entries = 16;
 
-log_fields with_request_fields(world const &w, proxied_request const &request,
+log_fields with_request_fields(world const &w,
+                               proxy_request_state const &request,
                                log_fields fields)
 {
     log_fields all{
@@ -46,23 +47,24 @@
     w.out.log_entries.push_back({level, std::move(event), std::move(fields)});
 }
 
-void buffer_request_log(world &w, proxied_request &request, std::string event,
-                        log_fields fields)
+void buffer_request_log(world &w, proxy_request_state &request,
+                        std::string event, log_fields fields)
 {
-    if (request.trail.size() < max_trail_entries)
+    if (request.buffered_log.size() < max_buffered_entries)
     {
-        request.trail.push_back(
+        request.buffered_log.push_back(
             {log_level::info, std::move(event),
              with_request_fields(w, request, std::move(fields))});
     }
 }
 
-void log_request_end(world &w, log_level level, proxied_request &request,
-                     std::string event, log_fields fields, bool with_trail)
+void log_request_end(world &w, log_level level, proxy_request_state &request,
+                     std::string event, log_fields fields,
+                     bool with_buffered_log)
 {
-    if (with_trail)
+    if (with_buffered_log)
     {
-        std::ranges::move(std::exchange(request.trail, {}),
+        std::ranges::move(std::exchange(request.buffered_log, {}),
                           std::back_inserter(w.out.log_entries));
     }
     log_proxied_request(w, level, std::move(event),
--- a/src/log_proxied_request.hpp
+++ b/src/log_proxied_request.hpp
@@ -10,7 +10,7 @@
 namespace agateledge
 {
 
-struct proxied_request;
+struct proxy_request_state;
 struct world;
 
 using log_fields = std::vector<std::pair<std::string, std::string>>;
@@ -23,16 +23,17 @@
 
 /// Buffers a log entry on one request, with its id, route and age. The entries
 /// of a request are written together by `log_request_end`.
-void buffer_request_log(world &w, proxied_request &request, std::string event,
-                        log_fields fields);
+void buffer_request_log(world &w, proxy_request_state &request,
+                        std::string event, log_fields fields);
 
 /// Logs the end of a request. Its buffered entries are written first or not at
 /// all, so that the log has either all lines of a request or only the last.
 ///
-/// @param with_trail write the buffered entries, for a request that failed or
-///        was late
-void log_request_end(world &w, log_level level, proxied_request &request,
-                     std::string event, log_fields fields, bool with_trail);
+/// @param with_buffered_log write the buffered entries, for a request that
+///        failed or was late
+void log_request_end(world &w, log_level level, proxy_request_state &request,
+                     std::string event, log_fields fields,
+                     bool with_buffered_log);
 
 /// @return `value` in milliseconds with one decimal, for a log field
 std::string milliseconds_text(duration value);
--- a/src/place_proxied_requests.cpp
+++ b/src/place_proxied_requests.cpp
@@ -33,7 +33,7 @@
 /// met; the time itself is derived from the excess of the predicted wait.
 constexpr duration min_retry_after = milliseconds(500);
 
-proxy_call make_call(world const &w, proxied_request const &request,
+proxy_call make_call(world const &w, proxy_request_state const &request,
                      instance_state const &instance,
                      instance_choice const &choice, attempt_number attempt)
 {
@@ -62,7 +62,7 @@
     return call;
 }
 
-void record_placement(world &w, proxied_request &request,
+void record_placement(world &w, proxy_request_state &request,
                       instance_state const &instance,
                       instance_choice const &choice)
 {
@@ -81,7 +81,7 @@
          {"left_ms", milliseconds_text(request.expires_at - w.now)}});
 }
 
-void send(world &w, proxied_request &request, instance_choice const &choice)
+void send(world &w, proxy_request_state &request, instance_choice const &choice)
 {
     auto &proxy = w.proxy;
     auto &instance = *proxy.instances.find(choice.instance);
@@ -144,7 +144,8 @@
                         service_tokens_per_ms(w, service) / 1e3);
 }
 
-void requeue(world &w, proxied_request const &request, queued_tokens &queued)
+void requeue(world &w, proxy_request_state const &request,
+             queued_tokens &queued)
 {
     queued[request.service] += request.waiting_tokens;
     w.proxy.waiting.push_back(request.number);
@@ -170,7 +171,8 @@
         auto const excess = needed - remaining;
         refuse_proxied_request(
             w, number, result_code::deadline_unreachable,
-            "the earliest predicted first event is after the deadline",
+            "the earliest predicted first event is after the caller would "
+            "abandon the request",
             spread_retry_after(w, std::max(excess * 2, min_retry_after)));
         return;
     }
--- a/src/predict_first_event.cpp
+++ b/src/predict_first_event.cpp
@@ -54,16 +54,17 @@
 ///         least 0
 duration max_overdue_time(world const &w, instance_state const &instance)
 {
-    duration most{};
+    duration max_overdue{};
     for (auto const number : instance.open_calls)
     {
         auto const *call = w.proxy.requests.find(number);
         if (call != nullptr && !call->answered)
         {
-            most = std::max(most, w.now - call->sent_at - call->predicted);
+            max_overdue =
+                std::max(max_overdue, w.now - call->sent_at - call->predicted);
         }
     }
-    return most;
+    return max_overdue;
 }
 
 duration prefill_time(world const &w, instance_state const &instance,
@@ -102,7 +103,7 @@
 }
 
 first_event_prediction predict_first_event(world const &w,
-                                           proxied_request const &request,
+                                           proxy_request_state const &request,
                                            instance_state const &instance,
                                            int copyable_tokens)
 {
--- a/src/predict_first_event.hpp
+++ b/src/predict_first_event.hpp
@@ -9,7 +9,7 @@
 {
 
 struct instance_state;
-struct proxied_request;
+struct proxy_request_state;
 struct world;
 
 /// Predicted time and prompt tokens of a call to an instance.
@@ -36,7 +36,7 @@
 /// @param instance instance that it would be sent to
 /// @param copyable_tokens leading tokens that it can copy from another engine
 first_event_prediction predict_first_event(world const &w,
-                                           proxied_request const &request,
+                                           proxy_request_state const &request,
                                            instance_state const &instance,
                                            int copyable_tokens);
 
--- a/src/propose_configuration.cpp
+++ b/src/propose_configuration.cpp
@@ -233,9 +233,9 @@
 {
     if (configuration_stale(w))
     {
-        reply_to_operator(w, call, result_code::configuration_stale,
-                          w.config.revision,
-                          "the revision in force is not confirmed");
+        reply_to_operator(
+            w, call, result_code::configuration_stale, w.config.revision,
+            "the configuration revision in force has not been confirmed");
         return false;
     }
     if (next.revision != w.config.revision)
--- a/src/proxy_lifecycle.cpp
+++ b/src/proxy_lifecycle.cpp
@@ -69,11 +69,12 @@
     close_attempt(w, attempt, result);
 }
 
-void release_kept_prefill(world &w, proxied_request &request)
+void release_kept_prefill(world &w, proxy_request_state &request)
 {
-    if (auto const kept = std::exchange(request.retained_prefill, std::nullopt))
+    if (auto const retained =
+            std::exchange(request.retained_prefill, std::nullopt))
     {
-        w.out.kv_releases.push_back({kept->address, kept->handle});
+        w.out.kv_releases.push_back({retained->address, retained->handle});
     }
 }
 
@@ -169,7 +170,7 @@
     remove_request(w, number);
 }
 
-bool retry_proxied_request(world &w, proxied_request &request, bool extra,
+bool retry_proxied_request(world &w, proxy_request_state &request, bool extra,
                            duration pause, std::string const &reason)
 {
     auto &proxy = w.proxy;
--- a/src/proxy_lifecycle.hpp
+++ b/src/proxy_lifecycle.hpp
@@ -12,7 +12,7 @@
 {
 
 struct proxy_attempt;
-struct proxied_request;
+struct proxy_request_state;
 struct world;
 
 /// Result of a call, for the health of its instance.
@@ -21,7 +21,7 @@
     succeeded,
     /// The instance failed, did not reply or could not be reached.
     failed,
-    /// Says nothing about the instance.
+    /// The result does not count for the instance's health.
     neutral,
 };
 
@@ -33,7 +33,7 @@
 void cancel_attempt(world &w, attempt_number attempt, call_result result);
 
 /// Releases the KV cache that an engine retains for the request, if any.
-void release_kept_prefill(world &w, proxied_request &request);
+void release_kept_prefill(world &w, proxy_request_state &request);
 
 /// Ends a request with an error reply of the daemon, or cuts its stream when it
 /// has begun. Pass a code that means "not run" only when no call can have run:
@@ -62,7 +62,7 @@
 /// @param pause minimum time until the next call
 /// @param reason why the previous call failed, for the log
 /// @return false when no further call is allowed
-bool retry_proxied_request(world &w, proxied_request &request, bool extra,
+bool retry_proxied_request(world &w, proxy_request_state &request, bool extra,
                            duration pause, std::string const &reason);
 
 /// @return random retry-after time between half of `max_retry_after` and the
--- a/src/proxy_table.cpp
+++ b/src/proxy_table.cpp
@@ -5,13 +5,13 @@
 namespace agateledge
 {
 
-proxied_request &proxy_table::add(proxied_request entry)
+proxy_request_state &proxy_table::add(proxy_request_state entry)
 {
     auto const number = entry.number;
     return entries_.insert_or_assign(number, std::move(entry)).first->second;
 }
 
-proxied_request *proxy_table::find(request_number number)
+proxy_request_state *proxy_table::find(request_number number)
 {
     auto const found = entries_.find(number);
     return found == entries_.end() ? nullptr : &found->second;
--- a/src/proxy_table.hpp
+++ b/src/proxy_table.hpp
@@ -26,8 +26,8 @@
     std::string handle;
 };
 
-/// State of an open request.
-struct proxied_request
+/// State of one open proxied request.
+struct proxy_request_state
 {
     request_number number;
     proxy_request_ptr content;
@@ -76,7 +76,7 @@
     instant last_event_at{};
     duration longest_event_gap{};
     /// Buffered log entries, written when the request fails or is late.
-    std::vector<log_entry> trail;
+    std::vector<log_entry> buffered_log;
 };
 
 /// Open call to an instance.
@@ -101,8 +101,8 @@
 class proxy_table
 {
 public:
-    proxied_request &add(proxied_request entry);
-    proxied_request *find(request_number number);
+    proxy_request_state &add(proxy_request_state entry);
+    proxy_request_state *find(request_number number);
     void erase(request_number number);
 
     proxy_attempt &add(proxy_attempt attempt);
@@ -115,13 +115,13 @@
 
     std::size_t size() const { return entries_.size(); }
 
-    std::unordered_map<request_number, proxied_request> const &all() const
+    std::unordered_map<request_number, proxy_request_state> const &all() const
     {
         return entries_;
     }
 
 private:
-    std::unordered_map<request_number, proxied_request> entries_;
+    std::unordered_map<request_number, proxy_request_state> entries_;
     std::unordered_map<attempt_number, proxy_attempt> attempts_;
     std::uint64_t last_attempt_ = 0;
 };
--- a/src/retry_requests.cpp
+++ b/src/retry_requests.cpp
@@ -192,7 +192,7 @@
 
 void retry_requests(world &w)
 {
-    while (auto const number = w.attempts.progress_checks.take(w.now))
+    while (auto const number = w.attempts.progress_checks.pop_due(w.now))
     {
         check_progress(w, *number);
     }
--- a/src/track_peers.cpp
+++ b/src/track_peers.cpp
@@ -169,7 +169,7 @@
 
 /// @return false for a message of this daemon, or one that is not newer than
 ///         the last one of its sender
-bool take_heartbeat(world &w, heartbeat const &message)
+bool apply_heartbeat(world &w, heartbeat const &message)
 {
     if (message.from == w.identity.name)
     {
@@ -443,7 +443,7 @@
     std::ranges::for_each(w.in.peer_failures, [&w](peer_failure const &failure)
                           { handle_failure(w, failure); });
     std::erase_if(w.in.heartbeats, [&w](heartbeat const &message)
-                  { return !take_heartbeat(w, message); });
+                  { return !apply_heartbeat(w, message); });
     bool const round_due = w.now >= w.peers.next_round;
     if (round_due || !w.in.heartbeats.empty() || !w.in.peer_failures.empty() ||
         !w.in.membership_reports.empty())
